--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -21,7 +21,7 @@
          "bridgesaddle", "bridgesaddle.wire", "gateway.discovery", "gateway.upstream", "gateway.core",
          "gateway.server", "gateway.program")
 """What takes most of a start, in steps of some milliseconds."""
-PAUSE = 3
+PAUSE_FACTOR = 3
 """After each step, so many times the processor time that it took."""
 
 
@@ -58,7 +58,7 @@
         used = 0.0   # by the interpreter too
         for name in STEPS:
             now = time.process_time()
-            time.sleep(PAUSE * (now - used))
+            time.sleep(PAUSE_FACTOR * (now - used))
             used = now
             importlib.import_module(name)
             if name == HANDOVER:
--- a/gateway/admin.py
+++ b/gateway/admin.py
@@ -15,7 +15,7 @@
 
 MAX_CALL = 8 * 1024
 """Longest call, bytes; none of them needs a body."""
-CALLERS = 24
+MAX_OPERATOR_CONNECTIONS = 24
 """Connections held at once: the one that has waited longest makes room for the next."""
 ARRIVE = 1500 * MS
 """Longest time for a call to arrive, counted from connecting."""
@@ -130,7 +130,7 @@
     def joined(self, caller: Caller) -> None:
         """Count a caller in; the one that has been here longest makes room."""
         self._callers[caller] = None
-        if len(self._callers) > CALLERS:
+        if len(self._callers) > MAX_OPERATOR_CONNECTIONS:
             oldest = next(iter(self._callers))
             if oldest.transport is not None:
                 oldest.transport.abort()
--- a/gateway/attempt.py
+++ b/gateway/attempt.py
@@ -8,7 +8,7 @@
 from bridgesaddle.api import MS, HostId, Outcome
 
 from .body import Body
-from .timers import FAR
+from .timers import NO_DEADLINE_NS
 
 if TYPE_CHECKING:
     from .upstream import Connection
@@ -45,7 +45,7 @@
 
     def __init__(self, host: HostId, number: int, payload: tuple[bytes, bytes], started: int, due: int,
                  ended: Callable[[Attempt, Outcome, Answer | None], None], probe: bool = False,
-                 receiver: Receiver | None = None, body: Body | None = None, begin_by: int = FAR,
+                 receiver: Receiver | None = None, body: Body | None = None, begin_by: int = NO_DEADLINE_NS,
                  unwanted: Callable[[], bool] = lambda: False) -> None:
         self.host = host
         self.unwanted = unwanted   # whether its client has left, asked before it is written
--- a/gateway/calls.py
+++ b/gateway/calls.py
@@ -8,8 +8,8 @@
 import httptools
 
 from .clocks import CALL, CONNECT, SILENT
-from .kernel import read_now
 from .lines import MAX_LINE, BadLine, Objects
+from .syscalls import read_available
 from .timers import now_ns
 
 MAX_HEAD = 16 * 1024
@@ -105,7 +105,7 @@
     def read_waiting(self) -> None:
         """Take in what has come and the loop has not read yet."""
         while self.transport is not None and not self.over and not self.transport.is_closing():
-            data = read_now(self.transport)
+            data = read_available(self.transport)
             if not data:
                 return
             self.data_received(data)
--- a/gateway/core.py
+++ b/gateway/core.py
@@ -20,10 +20,10 @@
 from .body import Body
 from .discovery import Discovery
 from .events import event
-from .holdups import UNCOUNTED, HoldUps
 from .lines import Listed
 from .peers import Peers
-from .timers import FAR, Timers, now_ns
+from .stalls import READ_DELAY_TOLERANCE_NS, StallDetector
+from .timers import NO_DEADLINE_NS, Timers, now_ns
 from .upstream import Upstream
 
 log = logging.getLogger("gateway.core")
@@ -179,7 +179,7 @@
         self._requests: dict[int, Request] = {}
         self._take(settings, columns)
         self.peers: Peers | None = None
-        self.holdups: HoldUps | None = None
+        self.stall_detector: StallDetector | None = None
         self.upstream: Upstream
         self.discovery: Discovery
         self.listed = False
@@ -210,8 +210,8 @@
         try:
             while self._events or self._lists:
                 self._now = now_ns()
-                if self.holdups is not None:
-                    self.holdups.note(self._now)
+                if self.stall_detector is not None:
+                    self.stall_detector.observe(self._now)
                 self._catch_up()
                 if not self._lists:
                     self._follow_lease()
@@ -269,7 +269,7 @@
             exchange.refused(0)
             return None
         now = now_ns()
-        accepted = now - asked.waiting_since - UNCOUNTED if asked.waiting_since else 0
+        accepted = now - asked.waiting_since - READ_DELAY_TOLERANCE_NS if asked.waiting_since else 0
         left = asked.ttl_ns - max(self._waited(now), accepted)
         if left < LEAST_LEFT:
             event(log, "refused", request=asked.id, why="its time ran out while the loop was held up")
@@ -303,7 +303,7 @@
 
     def _waited(self, now: int) -> int:
         """How long bytes that are read now may have lain unread: the client's time ran meanwhile."""
-        return self.holdups.waited(now) if self.holdups is not None else 0
+        return self.stall_detector.read_delay_ns(now) if self.stall_detector is not None else 0
 
     def _call_last(self, request: Request, now: int) -> None:
         request.last_call = now + max(request.ttl - LAST_CALL, request.ttl * 3 // 4)
@@ -311,9 +311,9 @@
 
     def _bound(self, request: Request) -> None:
         """Part of a long body is held no longer: no second attempt, and no deadline while it is sent."""
-        request.deadline = request.last_call = FAR
+        request.deadline = request.last_call = NO_DEADLINE_NS
         for attempt in request.out.values():
-            attempt.due = FAR
+            attempt.due = NO_DEADLINE_NS
             self._event(self._module.on_body, request, request.rid, attempt.number)
 
     def on_whole(self, request: Request) -> None:
@@ -340,7 +340,7 @@
             self.upstream.cancel(attempt)
             return False
         request.streamed = True
-        request.deadline = request.last_call = attempt.due = FAR
+        request.deadline = request.last_call = attempt.due = NO_DEADLINE_NS
         for other in [other for other in request.out.values() if other is not attempt]:
             self.upstream.cancel(other)
         request.exchange.begin(attempt, answer, length)
@@ -374,11 +374,11 @@
 
     def accepted(self) -> int:
         """From when on a connection that is accepted now may have waited; 0: it has not."""
-        return self.holdups.accepted(now_ns()) if self.holdups is not None else 0
+        return self.stall_detector.accept_delayed_since(now_ns()) if self.stall_detector is not None else 0
 
     def _suspect(self) -> bool:
         """Whether what the loop reads now may have waited."""
-        return self.holdups is not None and self.holdups.suspect(now_ns())
+        return self.stall_detector is not None and self.stall_detector.may_be_delayed(now_ns())
 
     def _may_have_left(self, request: Request) -> bool:
         """Whether its client may have left long ago: after a hold-up its end may still lie unread."""
@@ -402,7 +402,7 @@
     def longest(self, now: int) -> int:
         """The longest time that a request which is held has left."""
         return max((request.last_call - now for request in self._requests.values()
-                    if request.exchange is not None and request.last_call < FAR), default=0)
+                    if request.exchange is not None and request.last_call < NO_DEADLINE_NS), default=0)
 
     def fail_all(self) -> None:
         """The program must end now: what is still held is answered rather than lost."""
@@ -468,7 +468,7 @@
 
     def _held_ns(self) -> int:
         """How long the loop has stood still in all: that time is not held against hosts."""
-        return self.holdups.total_ns if self.holdups is not None else 0
+        return self.stall_detector.total_ns if self.stall_detector is not None else 0
 
     # ---- Actions -----------------------------------------------------------------------------------
 
@@ -484,7 +484,7 @@
         attempt = Attempt(host, number, request.payload, self._now, due,
                           lambda attempt, outcome, answer: self._ended(request, attempt, outcome, answer),
                           receiver=_Receiver(self, request), body=request.body,
-                          begin_by=self._now + begin_ns if begin_ns else FAR,
+                          begin_by=self._now + begin_ns if begin_ns else NO_DEADLINE_NS,
                           unwanted=lambda: self._may_have_left(request))
         attempt.held_before = self._held_ns()
         request.out[number] = attempt
--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -34,11 +34,11 @@
     try_again_after,
 )
 from .events import event
-from .kernel import waiting
 from .lines import BadLine, Change, Lines, Listed
 from .reachability import Reachability
-from .timers import LATE, Timers, now_ns
-from .transient import OWN
+from .syscalls import pending_events
+from .timers import LATE_TIMER_NS, Timers, now_ns
+from .transient import LOCAL_ERRNOS
 
 log = logging.getLogger("gateway.discovery")
 
@@ -147,7 +147,7 @@
         if now >= self._unsure_until:
             return False
         watch = self._watch
-        if watch is not None and watch.told and watch.transport is not None and not waiting(watch.transport):
+        if watch is not None and watch.told and watch.transport is not None and not pending_events(watch.transport):
             self._unsure_until = 0   # it is open, and all that was written to it is read
         return now < self._unsure_until
 
@@ -311,7 +311,8 @@
             _, second, *_ = call.tries   # the first one stays: it may only be slow
             call.tries.pop(second).cancel()
         now = now_ns()
-        if call.tries and now - call.tried_at < try_again_after(self._pushed, self._grace_ns, call.tried) + LATE:
+        if call.tries and (now - call.tried_at
+                           < try_again_after(self._pushed, self._grace_ns, call.tried) + LATE_TIMER_NS):
             self._missed(call.tried_at)   # but for a timer that rings late: it may be up, and the loop not there yet
         call.tried_at = now
         call.tried += 1
@@ -323,7 +324,7 @@
             await self._loop.create_connection(lambda: Try(call), *self._address)
         except OSError as error:
             call.tries.pop(number, None)
-            call.own_trouble = error.errno in OWN
+            call.own_trouble = error.errno in LOCAL_ERRNOS
             if not call.own_trouble and call.transport is None and not call.over:
                 now = now_ns()
                 self._missed(now - self.unread_for(now))   # its refusal may have lain unread as long
--- a/gateway/events.py
+++ b/gateway/events.py
@@ -9,9 +9,9 @@
 from time import monotonic_ns
 from typing import Any
 
-MOST_PER_S = 10
+MAX_EVENTS_PER_S = 10
 """Events of one logger written in a second; the others are counted.  Each has its own: a busy moment of requests must
-not hide what discovery did.  All together are under the limit on all lines (`program.LINES_PER_S`)."""
+not hide what discovery did.  All together are under the limit on all lines (`program.MAX_LOG_LINES_PER_S`)."""
 SECOND = 1_000_000_000
 
 
@@ -29,7 +29,7 @@
         if now >= self._until:
             self._until, self._count = now + SECOND, 0
         self._count += 1
-        if self._count <= MOST_PER_S:
+        if self._count <= MAX_EVENTS_PER_S:
             return True
         self.left_out += 1
         return False
--- a/gateway/exchange.py
+++ b/gateway/exchange.py
@@ -127,7 +127,7 @@
 
     def _count(self, how: str) -> None:
         if self.cls:
-            self.conn.server.stats.ended(self.cls, how)
+            self.conn.server.stats.count_request(self.cls, how)
 
 
 def _end_to_end(answer: Answer) -> list[Header]:
--- a/gateway/handover.py
+++ b/gateway/handover.py
@@ -76,11 +76,11 @@
             except OSError as error:
                 log.warning("others are not told yet that this process takes clients: %s", error)
 
-    def beside(self) -> bool:
+    def other_running(self) -> bool:
         """Whether another process of this gateway lives."""
         return bool(self._others())
 
-    def succeeded(self) -> bool:
+    def other_serving(self) -> bool:
         """Whether another process of this gateway takes clients."""
         return SERVING in self._others()
 
--- a/gateway/listener.py
+++ b/gateway/listener.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from .events import event
-from .transient import ABORTED, accepted, bound, persistently
+from .transient import ACCEPT_ERRNOS, accept_pending, bind_socket, retry_at_startup
 
 log = logging.getLogger("gateway.listener")
 
@@ -34,7 +34,7 @@
         self._protocol = protocol
         self._opening: set[asyncio.Task[object]] = set()   # accepted, their transports not yet made
         self._paused: asyncio.TimerHandle | None = None
-        self._socket = bound(address, shared)
+        self._socket = bind_socket(address, shared)
         try:
             self._socket.listen(BACKLOG)
             loop.add_reader(self._socket, self._accept)
@@ -58,7 +58,7 @@
         if self._paused is not None:
             self._paused.cancel()
         self._loop.remove_reader(self._socket)
-        for connection in accepted(self._socket):
+        for connection in accept_pending(self._socket):
             self._open(connection)
         self._socket.close()
 
@@ -69,7 +69,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                if error.errno not in ABORTED:   # else one connection was lost, and the next may be whole
+                if error.errno not in ACCEPT_ERRNOS:   # else one connection was lost, and the next may be whole
                     self._pause(error)
                     return
             else:
@@ -104,4 +104,4 @@
     """A listener, tried for again while that is `wanted`; raises OSError where it stays impossible."""
     async def begin() -> Listener:
         return Listener(loop, address, protocol, shared)
-    return await persistently(begin, wanted)
+    return await retry_at_startup(begin, wanted)
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -26,21 +26,21 @@
 from .core import Core, Maker
 from .discovery import Discovery
 from .handover import Handover, host_and_port
-from .holdups import HoldUps
-from .kernel import process_started_ns
 from .lines import Lines, Listed
 from .listener import Listener, listening
 from .peers import Peers
 from .server import Server
+from .stalls import StallDetector
 from .starts import StartTimes
 from .stats import Stats
+from .syscalls import process_started_ns
 from .timers import Timers, now_ns
-from .transient import DISK, OWN, pauses, persistently_at_once
+from .transient import DISK, LOCAL_ERRNOS, pauses, persistently_at_once
 from .upstream import Upstream
 
 log = logging.getLogger("gateway")
 
-SWEEP = 500 * MS
+SWEEP_INTERVAL_NS = 500 * MS
 CROSSING = 600 * MS
 """After SIGTERM new connections go on coming for 0.4 s at most; they are taken for somewhat longer."""
 LEAVE_MOST = 3 * SECOND
@@ -65,14 +65,14 @@
 """So often it is looked whether another process of this gateway runs."""
 BESIDE_CLIENTS = 0.65
 """Part of its half that clients may hold while one does: most of what both hold is theirs."""
-TOLD = 3500 * MS
+FIRST_LIST_WAIT_NS = 3500 * MS
 """Longest wait for the list before a process takes clients from another or where lists are pushed, as what discovery
 has counts as told from the first moment: a yes is wanted within 6 s."""
 TOLD_ASKED = 5 * SECOND
 """And where it is asked: the list of the start is as old as what the process before this one heard last."""
 RELOAD_S = 1.0
 """A file that can't be read for a reason of the moment is read again for so long."""
-LINES_PER_S = 50
+MAX_LOG_LINES_PER_S = 50
 """Log lines a second: an attacker must not make the gateway spend its time on writing."""
 
 
@@ -116,7 +116,7 @@
         except KeyError as error:
             raise BadConfig(f"{error} is missing") from None
         except OSError as error:
-            raise (Unread if error.errno in OWN | DISK else BadConfig)(str(error)) from None
+            raise (Unread if error.errno in LOCAL_ERRNOS | DISK else BadConfig)(str(error)) from None
         except (ValueError, TypeError, AttributeError, RecursionError, WireError) as error:
             raise BadConfig(str(error)) from None
         names = [item.name for item in self.settings.classes]
@@ -160,15 +160,15 @@
         if int(record.created) != self._second:
             self._second, self._count = int(record.created), 0
         self._count += 1
-        return self._count <= LINES_PER_S
+        return self._count <= MAX_LOG_LINES_PER_S
 
 
 class Gateway:
     """The parts, wired together."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, make: Maker = Balancer,
-                 handover: Handover | None = None, waits_ns: int = TOLD_ASKED, started_ns: int = 0) -> None:
-        self._waits_ns = waits_ns   # for the first list, where lists are asked for
+                 handover: Handover | None = None, first_list_wait_ns: int = TOLD_ASKED, started_ns: int = 0) -> None:
+        self._waits_ns = first_list_wait_ns   # for the first list, where lists are asked for
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         self._sockets = min(config.sockets, soft if soft > 0 else config.sockets)
         self._loop = loop
@@ -182,7 +182,7 @@
         clients, hosts = self._room()
         self.room = Room(self._bytes())
         self.core = Core(settings, config.seed, self.timers, config.columns, make)
-        self.holdups = self.core.holdups = HoldUps(loop, self.timers)
+        self.stall_detector = self.core.stall_detector = StallDetector(loop, self.timers)
         self.upstream = Upstream(loop, self.timers, hosts,
                                   settings.limits.connect_timeout_ns, settings.limits.conn_idle_ns,
                                   self.stats, self.room)
@@ -203,8 +203,8 @@
         self.upstream.may_send = lambda: self.discovery.may_send(now_ns())
         self.discovery.on_lease = self._on_lease
         self.discovery.together = settings.replicas
-        self.discovery.unread_for = self.holdups.waited
-        self.holdups.on_held.append(self.discovery.on_held)
+        self.discovery.unread_for = self.stall_detector.read_delay_ns
+        self.stall_detector.on_stall.append(self.discovery.on_held)
         self.server = Server(self.core, self.timers, settings, clients, self.stats, self.room)
         self.admin = Admin({("GET", "/_ready"): self._ready, ("GET", "/_vars"): self._vars,
                             ("POST", "/_lameduck/on"): lambda: self._drain(True),
@@ -223,18 +223,18 @@
 
     async def start(self) -> tuple[str, int]:
         """Begin to watch and, once clients can be served, to listen; returns the address."""
-        self.holdups.start()
+        self.stall_detector.start()
         self.handover.register()
         beside = self._look()
         self.discovery.known(self._config.known)   # before anything is waited for: SIGHUP may bring a newer list
         self.discovery.start()
         if self._config.operator is not None:
-            self.operator = await self.admin.listen(self._loop, self._config.operator)
-            log.info("operators call %s:%d", *self.operator)
-        self.timers.after(SWEEP, self._sweep, None)
+            self.operator_address = await self.admin.listen(self._loop, self._config.operator)
+            log.info("operators call %s:%d", *self.operator_address)
+        self.timers.after(SWEEP_INTERVAL_NS, self._sweep, None)
         self.timers.after(BESIDE, self._looked, None)
         # Another one serves meanwhile, where there is one; a bound socket would draw clients at once.
-        waits = TOLD if beside or not self._settings.ask_discovery else self._waits_ns
+        waits = FIRST_LIST_WAIT_NS if beside or not self._settings.ask_discovery else self._waits_ns
         try:
             await asyncio.wait_for(self._told.wait(), waits / SECOND)
         except TimeoutError:
@@ -293,7 +293,7 @@
 
     def _look(self) -> bool:
         """Look for another process of this gateway, and hold no more than is left beside it."""
-        beside = self.handover.beside()
+        beside = self.handover.other_running()
         if beside != self._beside:
             log.info("another process of this gateway %s", "runs" if beside else "has ended")
             self._beside = beside
@@ -311,7 +311,7 @@
         self._look()
 
     def _sweep(self, _: None) -> None:
-        self.timers.after(SWEEP, self._sweep, None)   # first: one that fails must not be the last
+        self.timers.after(SWEEP_INTERVAL_NS, self._sweep, None)   # first: one that fails must not be the last
         now = now_ns()
         self._starts.look()
         self.upstream.sweep(now)
@@ -333,14 +333,14 @@
 
     def _vars(self) -> Answered:
         heard_at = self.discovery.heard_at
-        return 200, self.stats.text({
+        return 200, self.stats.render({
             "pending": self.server.pending, "members": self.upstream.listed,
             "members_unavailable": self.core.members_unavailable(),
             "discovery_heard_ms_ago": (now_ns() - heard_at) // MS if heard_at else -1,
             "list_generation": self.discovery.generation,
             "list_lease_ms": (self.discovery.lease.until_ns - now_ns()) // MS,
-            "hold_ups": self.holdups.count, "hold_ups_ms": self.holdups.total_ns // MS,
-            "hold_up_longest_ms": self.holdups.longest_ns // MS})
+            "hold_ups": self.stall_detector.count, "hold_ups_ms": self.stall_detector.total_ns // MS,
+            "hold_up_longest_ms": self.stall_detector.longest_ns // MS})
 
     def reload(self) -> None:
         """SIGHUP: settings may have changed, discovery moved; a file that is not right changes nothing."""
@@ -377,13 +377,13 @@
             return
         now = now_ns()
         # SIGKILL's time runs from the signal, which may have come as early as a stop of this process began.
-        self._stop_at = now - self.holdups.waited(now)
+        self._stop_at = now - self.stall_detector.read_delay_ns(now)
         # By what holds now: neither what is held nor SIGKILL waits for settings that come later.
         longest = max([item.deadline_ns for item in self._settings.classes] + [self.core.longest(now)])
         self._end_at = self._stop_at + min(longest, LEAVE_MOST) + LEAVE_MORE
         self._told.set()
         self._drain(True)
-        self.server.succeeded = self.handover.succeeded()
+        self.server.succeeded = self.handover.other_serving()
         if self.server.succeeded:
             log.info("another process takes the clients")
             self._stop_listening(None)
--- a/gateway/server.py
+++ b/gateway/server.py
@@ -19,8 +19,8 @@
 from .core import Core
 from .events import event
 from .exchange import Exchange
-from .kernel import BROKEN, LEFT, waiting
 from .stats import Stats
+from .syscalls import CONNECTION_LOST_EVENTS, PEER_CLOSED_EVENTS, pending_events
 from .timers import Timers, now_ns
 from .upstream import MAX_BODY, MAX_LONG, STALL
 
@@ -202,19 +202,20 @@
         if not self._paused or self.leaving or transport is None or transport.is_closing():
             return False
         looked_at, self._looked_at = self._looked_at, now_ns()
-        events = waiting(transport)
+        events = pending_events(transport)
         if events and not self._unread_since:
             self._unread_since = looked_at
-        if events & BROKEN:
+        if events & CONNECTION_LOST_EVENTS:
             transport.abort()
-        elif events & LEFT:
+        elif events & PEER_CLOSED_EVENTS:
             self._leave()
-        return not events & LEFT
+        return not events & PEER_CLOSED_EVENTS
 
     def has_left(self) -> bool:
         """Whether the client has ended its sending, read or not."""
         transport = self.transport
-        return self.leaving or transport is None or transport.is_closing() or bool(waiting(transport) & LEFT)
+        return self.leaving or transport is None or transport.is_closing() \
+            or bool(pending_events(transport) & PEER_CLOSED_EVENTS)
 
     def _leave(self) -> None:
         """The client has ended its sending: what is out may still be answered, nothing more is sent."""
@@ -476,7 +477,7 @@
         """
         transport = self.transport
         if transport is None or transport.is_closing() or self.lingering or not self.between_requests() \
-                or waiting(transport):
+                or pending_events(transport):
             return False
         event(log, "client_closed", why="idle too long, drained, or to make room", idle_ns=now_ns() - self.since)
         self._linger()
@@ -516,7 +517,7 @@
 
     def on_settings(self, settings: Settings) -> None:
         """New settings: whoever comes now is judged by them."""
-        self.stats.name(item.name for item in settings.classes)
+        self.stats.register_classes(item.name for item in settings.classes)
         self._checks = Checks(settings)
 
     def connection(self) -> ClientConnection:
--- a/gateway/stats.py
+++ b/gateway/stats.py
@@ -15,16 +15,16 @@
         self.config_reloads = 0
         self.config_reload_errors = 0
 
-    def name(self, classes: Iterable[str]) -> None:
+    def register_classes(self, classes: Iterable[str]) -> None:
         """Classes of the settings: they are shown from 0 on, and stay shown once they are dropped."""
         for cls in classes:
             self._downstream.setdefault(cls, {"completed": 0, "rejected": 0, "failed": 0})
 
-    def ended(self, cls: str, how: str) -> None:
+    def count_request(self, cls: str, how: str) -> None:
         """A request of a class is over: completed, rejected or failed."""
         self._downstream[cls][how] += 1
 
-    def text(self, gauges: Mapping[str, int]) -> bytes:
+    def render(self, gauges: Mapping[str, int]) -> bytes:
         """All figures, one a line, with what is measured now."""
         lines = [f"svc.downstream_requests.{cls}.{how}={count}"
                  for cls, counts in self._downstream.items() for how, count in counts.items()]
--- a/gateway/kernel.py
+++ b/gateway/syscalls.py
@@ -33,13 +33,13 @@
     return now - (age if 0 <= age < STARTING_MOST else STARTING)
 
 
-LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 """The other side has ended its sending, behind whatever is still unread."""
-BROKEN = select.POLLHUP | select.POLLERR
+CONNECTION_LOST_EVENTS = select.POLLHUP | select.POLLERR
 """The connection is gone both ways."""
 
 
-def waiting(transport: asyncio.BaseTransport) -> int:
+def pending_events(transport: asyncio.BaseTransport) -> int:
     """What `poll` says of an open connection: 0 where nothing waits, neither bytes nor an end."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
@@ -50,7 +50,7 @@
 """Most that is read ahead of the loop in one call, bytes."""
 
 
-def read_now(transport: asyncio.BaseTransport) -> bytes:
+def read_available(transport: asyncio.BaseTransport) -> bytes:
     """What waits at an open connection, ahead of the loop's turn; nothing where nothing does or it has ended.
 
     An end or an error is left to the loop, which sees an end in either case.
@@ -64,7 +64,7 @@
         return b""
 
 
-def write_within(fd: int, data: bytes, until_ns: int) -> int:
+def write_before(fd: int, data: bytes, until_ns: int) -> int:
     """Write to a connection of which nothing is buffered, unless the time is over; how many bytes were taken.
 
     -1 where it is over.  0 where the connection takes none now or is broken: its transport meets the same and tells.
--- a/gateway/timers.py
+++ b/gateway/timers.py
@@ -12,11 +12,11 @@
 from time import monotonic_ns as now_ns
 from typing import Any
 
-__all__ = ["FAR", "LATE", "Timers", "now_ns"]
+__all__ = ["LATE_TIMER_NS", "NO_DEADLINE_NS", "Timers", "now_ns"]
 
-FAR = 1 << 62
+NO_DEADLINE_NS = 1 << 62
 """The time of what has no deadline."""
-LATE = 25_000_000
+LATE_TIMER_NS = 25_000_000
 """A timer that rings later than this, ns, tells that the loop was held up."""
 
 
@@ -59,7 +59,7 @@
     def _ring(self) -> None:
         self._armed = None
         heap, now = self._heap, now_ns()
-        if now - self._armed_for > LATE and not self._reads_first:
+        if now - self._armed_for > LATE_TIMER_NS and not self._reads_first:
             self._reads_first = True
             self._armed = self._loop.call_later(READ_S, self._ring)
             return
--- a/gateway/transient.py
+++ b/gateway/transient.py
@@ -14,11 +14,12 @@
 
 log = logging.getLogger("gateway.transient")
 
-OWN = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR,
-                 errno.EADDRNOTAVAIL))
+LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR,
+                          errno.EADDRNOTAVAIL))
 """This machine lacks something for the moment; nobody else is to blame."""
-ABORTED = frozenset((errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT,
-                     errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH))
+ACCEPT_ERRNOS = frozenset((errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.EPERM, errno.ENETDOWN,
+                           errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP,
+                           errno.ENETUNREACH))
 """`accept` lost one connection; the next may be whole (accept(2))."""
 DISK = frozenset((errno.ENOSPC, errno.EIO, errno.EDQUOT))
 FIRST_S = 0.02
@@ -46,10 +47,10 @@
     """Whether a start that has waited so long tries once more."""
     if error.errno == errno.EADDRINUSE:
         return waited_s < TAKEN_S
-    return error.errno in OWN or error.errno in DISK
+    return error.errno in LOCAL_ERRNOS or error.errno in DISK
 
 
-async def persistently(call: Callable[[], Awaitable[Result]], wanted: Callable[[], bool]) -> Result:
+async def retry_at_startup(call: Callable[[], Awaitable[Result]], wanted: Callable[[], bool]) -> Result:
     """Make a call of the start until it succeeds.
 
     Raises OSError: what does not pass, does not pass in time, or is wanted no longer.
@@ -81,7 +82,7 @@
     return call()
 
 
-def bound(address: tuple[str, int], shared: bool) -> socket.socket:
+def bind_socket(address: tuple[str, int], shared: bool) -> socket.socket:
     """A socket that listens nowhere yet; `shared`: another process of this gateway may listen there too."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
@@ -97,7 +98,7 @@
     return sock
 
 
-def accepted(listener: socket.socket) -> list[socket.socket]:
+def accept_pending(listener: socket.socket) -> list[socket.socket]:
     """All connections that wait at a listener; those that were lost on the way are passed over."""
     found = []
     lost = 0
@@ -107,7 +108,7 @@
         except BlockingIOError:
             break
         except OSError as error:
-            if error.errno not in ABORTED and error.errno not in OWN:
+            if error.errno not in ACCEPT_ERRNOS and error.errno not in LOCAL_ERRNOS:
                 break
             lost += 1
     return found
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -18,11 +18,11 @@
 from .attempt import Answer, Attempt, Header
 from .body import PIECE, Body, Room
 from .events import event
-from .kernel import waiting, write_within
 from .lines import Listed
 from .stats import Stats
+from .syscalls import pending_events, write_before
 from .timers import Timers, now_ns
-from .transient import OWN
+from .transient import LOCAL_ERRNOS
 
 log = logging.getLogger("gateway.upstream")
 
@@ -143,7 +143,7 @@
 
     def fresh(self) -> bool:
         """Guards against an end or bytes that wait unread: the next request would get them for its answer."""
-        return self.transport is not None and not self.transport.is_closing() and not waiting(self.transport)
+        return self.transport is not None and not self.transport.is_closing() and not pending_events(self.transport)
 
     def send(self, attempt: Attempt) -> None:
         """Write an attempt to a connection that stood idle."""
@@ -172,7 +172,7 @@
             # What is decided and worded is written at once or not at all: guards against a stop in between.  So ahead
             # of the transport, whose own way to the socket is much longer.
             sent = -1 if transport.is_closing() \
-                else write_within(self._fd, message, min(attempt.checked, now) + CHECKED_FOR)
+                else write_before(self._fd, message, min(attempt.checked, now) + CHECKED_FOR)
             if sent >= 0:
                 if sent < len(message):
                     transport.write(message[sent:])
@@ -555,7 +555,7 @@
                 await self._loop.create_connection(lambda: conn, *conn.host.address)
                 return
             except OSError as error:
-                conn.own_trouble = error.errno in OWN
+                conn.own_trouble = error.errno in LOCAL_ERRNOS
                 if not conn.own_trouble:
                     break
                 event(log, "connect_failed", host=conn.host.address[1], errno=error.errno, why="this machine's trouble")
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -224,7 +224,7 @@
             json.dump(config, file)
             file.flush()
             self.gateway = Gateway(Config({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(),
-                                   make, waits_ns=0)   # tests answer the calls, or leave them
+                                   make, first_list_wait_ns=0)   # tests answer the calls, or leave them
         self.where = await self.gateway.start()
         self._take_the_known_list_for_told()
         return self
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -10,7 +10,7 @@
 from bridgesaddle.api import SECOND, Outcome
 from gateway import upstream
 from gateway.body import KEPT, Body, Room
-from gateway.program import SWEEP
+from gateway.program import SWEEP_INTERVAL_NS
 from gateway.server import ARRIVE
 from gateway.timers import now_ns
 from tests.sockets import OK, Client, FakeHost, Stage, play, request, rested, until
@@ -359,4 +359,4 @@
 
 
 def test_slow_heads_have_their_time() -> None:
-    assert 2 * SECOND < ARRIVE <= 3 * SECOND - SWEEP
+    assert 2 * SECOND < ARRIVE <= 3 * SECOND - SWEEP_INTERVAL_NS
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -11,7 +11,7 @@
 
 from bridgesaddle.api import MS
 from gateway import program
-from gateway.admin import CALLERS
+from gateway.admin import MAX_OPERATOR_CONNECTIONS
 from gateway.handover import Handover
 from gateway.server import DRAIN_IDLE
 from gateway.timers import now_ns
@@ -23,7 +23,7 @@
 
 async def call(stage: Stage, data: bytes) -> tuple[int, bytes]:
     """One call on a connection of its own, read to its end."""
-    reader, writer = await asyncio.open_connection(*stage.gateway.operator)
+    reader, writer = await asyncio.open_connection(*stage.gateway.operator_address)
     writer.write(data)
     answer = await reader.read()
     writer.close()
@@ -77,7 +77,8 @@
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), told=OPERATOR)
-            crowd = [await asyncio.open_connection(*stage.gateway.operator) for _ in range(2 * CALLERS)]
+            crowd = [await asyncio.open_connection(*stage.gateway.operator_address)
+                     for _ in range(2 * MAX_OPERATOR_CONNECTIONS)]
             assert (await figures(stage))["pending"] == 0
             for _, writer in crowd:
                 writer.close()
@@ -194,7 +195,7 @@
         two: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A third of 288 descriptors is for clients' requests: half of it at each, and half of that waits."""
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    monkeypatch.setattr(program, "TOLD", MS)   # nobody tells the list
+    monkeypatch.setattr(program, "FIRST_LIST_WAIT_NS", MS)   # nobody tells the list
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
     other = Handover(address)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -288,16 +288,16 @@
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     serving = Handover(("127.0.0.1", 7070))
     serving.register()
-    monkeypatch.setattr("gateway.__main__.PAUSE", 0)
+    monkeypatch.setattr("gateway.__main__.PAUSE_FACTOR", 0)
     told: list[bool] = []
     real = importlib.import_module
 
     def step(name: str) -> ModuleType:
-        told.append(serving.beside())
+        told.append(serving.other_running())
         return real(name)
 
     def main(handover: Handover) -> int:
-        told.append(serving.beside())
+        told.append(serving.other_running())
         handover.close()
         return 0
     monkeypatch.setattr(importlib, "import_module", step)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -289,7 +289,7 @@
         monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with Stage() as stage:
-            monkeypatch.setattr("gateway.program.SWEEP", 60 * SECOND)
+            monkeypatch.setattr("gateway.program.SWEEP_INTERVAL_NS", 60 * SECOND)
             await stage.begin(FakeHost())
             server = stage.gateway.server
             with socket.create_connection(stage.where) as sock:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -12,8 +12,8 @@
 import pytest
 
 from bridgesaddle.api import MS, SECOND, Actions, HostId, Outcome, Settings
-from gateway.kernel import waiting
 from gateway.server import IDLE, ClientConnection
+from gateway.syscalls import pending_events
 from gateway.timers import now_ns
 from gateway.upstream import Connection
 from tests.sockets import OK, SETTINGS, FakeHost, Stage, play, request, rested, until
@@ -356,7 +356,8 @@
                 await until(lambda: stage.gateway.server.reading == 1)
             (conn,) = stage.gateway.server._connections
             await until(lambda: peer.writer.transport.get_write_buffer_size() == 0
-                        and conn.transport is not None and not waiting(conn.transport))   # all has come and is read
+                        and conn.transport is not None
+                        and not pending_events(conn.transport))   # all has come and is read
             stage.gateway.server.sweep(connected + 2500 * MS)   # swept twice a second
             assert conn.transport is not None
             assert conn.discarding or conn.transport.is_closing()     # at once, not by a later sweep
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -183,7 +183,8 @@
 """Nothing happens at the end of the lease.  Where it is watched, no other safeguard's absence sends a request late."""
 NO_READ_AHEAD = Mutation("gateway/discovery.py", "        for call in (self._watch, self._second, self._fetch):\n",
                         "        for call in ():\n")
-NO_WAITING = Mutation("gateway/holdups.py", "        return max(0, now - since - UNCOUNTED)\n", "        return 0\n")
+NO_WAITING = Mutation("gateway/stalls.py", "        return max(0, now - since - READ_DELAY_TOLERANCE_NS)\n",
+                      "        return 0\n")
 NO_TRIES = Mutation("gateway/clocks.py", "        return max(TRY_AGAIN_LEAST, min(TRY_AGAIN, grace_ns // 4))",
                    "        return 60 * SECOND")
 LATE_RENEWAL = Mutation("gateway/clocks.py", "RENEW = HEARTBEAT + LATE_BEAT", "RENEW = 5 * SECOND")
