--- a/gateway/core.py
+++ b/gateway/core.py
@@ -21,9 +21,9 @@
 from .discovery import Discovery
 from .events import event
 from .holdups import UNCOUNTED, HoldUps
-from .lines import Listed
-from .peers import Peers
+from .peers import PeerSocket
 from .timers import FAR, Timers, now_ns
+from .update_parser import ListedHost
 from .upstream import Upstream
 
 log = logging.getLogger("gateway.core")
@@ -178,7 +178,7 @@
         self._rid = 0
         self._requests: dict[int, Request] = {}
         self._take(settings, columns)
-        self.peers: Peers | None = None
+        self.peers: PeerSocket | None = None
         self.holdups: HoldUps | None = None
         self.upstream: Upstream
         self.discovery: Discovery
@@ -244,7 +244,7 @@
 
     def _catch_up(self) -> None:
         try:
-            self.discovery.catch_up(self._now)
+            self.discovery.read_pending(self._now)
         except Exception:   # guards against losing the event that waits behind it
             log.exception("discovery could not be read")
 
@@ -253,7 +253,7 @@
         self._take(settings, columns)
         self._event(self._module.on_settings, None, settings)
 
-    def on_list(self, kind: ListKind, listed: list[Listed]) -> None:
+    def on_list(self, kind: ListKind, listed: list[ListedHost]) -> None:
         """Discovery has spoken; the sockets follow the list before anything more is sent."""
         if kind is not ListKind.FAILED:
             self.upstream.apply(kind is not ListKind.DELTA, listed)
--- a/gateway/calls.py
+++ b/gateway/discovery_calls.py
@@ -7,10 +7,10 @@
 
 import httptools
 
-from .clocks import CALL, CONNECT, SILENT
+from .discovery_timeouts import CALL, CONNECT, WATCH_SILENCE_TIMEOUT_NS
 from .kernel import read_now
-from .lines import MAX_LINE, BadLine, Objects
 from .timers import now_ns
+from .update_parser import MAX_UPDATE_BYTES, MalformedUpdate, Objects
 
 MAX_HEAD = 16 * 1024
 PATH = "/registry/instances"
@@ -20,35 +20,35 @@
     """Whose call it is."""
 
     authority: str
-    heard_at: int
+    last_received_ns: int
 
     @property
-    def since(self) -> int:
+    def resume_generation(self) -> int:
         """The version that a watch goes on from."""
 
-    def connected(self, call: Call) -> None:
+    def connected(self, call: DiscoveryCall) -> None:
         """Its connection is up."""
 
-    def word(self, call: Call) -> None:
+    def word(self, call: DiscoveryCall) -> None:
         """A watch that has told a list speaks."""
 
-    def line(self, call: Call, text: bytes) -> None:
+    def on_update(self, call: DiscoveryCall, text: bytes) -> None:
         """An object has come whole."""
 
-    def broken(self, call: Call, error: Exception) -> None:
+    def broken(self, call: DiscoveryCall, error: Exception) -> None:
         """What has come can't be used."""
 
-    def cut_short(self, call: Call) -> None:
+    def cut_short(self, call: DiscoveryCall) -> None:
         """An object has begun and is not whole."""
 
-    def ended(self, call: Call, why: str, failed: bool = True) -> None:
+    def ended(self, call: DiscoveryCall, why: str, failed: bool = True) -> None:
         """It is over."""
 
 
 class Try(asyncio.Protocol):
     """One try to connect for a call; the first that comes up carries it, any other is closed."""
 
-    def __init__(self, call: Call) -> None:
+    def __init__(self, call: DiscoveryCall) -> None:
         self._call = call
         self._carries = False
 
@@ -66,7 +66,7 @@
             self._call.connection_lost(exc)
 
 
-class Call:
+class DiscoveryCall:
     """A watch, which stays open, or the whole list once."""
 
     def __init__(self, owner: Owner, watch: bool) -> None:
@@ -81,7 +81,7 @@
         self.transport: asyncio.Transport | None = None
         self.tries: dict[int, asyncio.Task[None]] = {}   # that have not failed, by number
         self.tried = 0
-        self.over = False
+        self.closed = False
         self.own_trouble = False   # its connection failed for a reason on this machine
         self.begun = now_ns()
         self.connected_at = 0
@@ -89,22 +89,22 @@
         self.renew_at = 0    # when another one is begun beside it, if it stays silent
         self.cut_off = False   # its connection was lost, not closed from here
         self.heard = 0
-        self.told = 0     # when a list of it was first taken
+        self.first_list_ns = 0     # when a list of it was first taken
 
     def take(self, transport: asyncio.Transport) -> bool:
         """A connection is up; whether it is wanted."""
-        if self.over or self.transport is not None:
+        if self.closed or self.transport is not None:
             return False
         self.transport = transport
         self.connected_at = now_ns()
-        query = f"?watch=1&from={self._owner.since}" if self._watch else ""
+        query = f"?watch=1&from={self._owner.resume_generation}" if self._watch else ""
         transport.write(f"GET {PATH}{query} HTTP/1.1\r\nHost: {self._owner.authority}\r\n\r\n".encode())
         self._owner.connected(self)
         return True
 
     def read_waiting(self) -> None:
         """Take in what has come and the loop has not read yet."""
-        while self.transport is not None and not self.over and not self.transport.is_closing():
+        while self.transport is not None and not self.closed and not self.transport.is_closing():
             data = read_now(self.transport)
             if not data:
                 return
@@ -112,7 +112,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Some of the answer has come."""
-        if self.over:
+        if self.closed:
             return
         try:
             self._parser.feed_data(data)
@@ -127,16 +127,16 @@
         if self._status != 200:
             self._owner.ended(self, f"answer {self._status}")
             return
-        self.heard = self._owner.heard_at = now_ns()
-        if self.told:
+        self.heard = self._owner.last_received_ns = now_ns()
+        if self.first_list_ns:
             self._owner.word(self)
         try:
             self._cut()
-        except BadLine as error:
+        except MalformedUpdate as error:
             self._owner.broken(self, error)
         if self._done:
             self._owner.ended(self, "the answer has ended", failed=self._watch)
-        elif self._objects.partial and not self.over:
+        elif self._objects.partial and not self.closed:
             self._owner.cut_short(self)
 
     def _cut(self) -> None:
@@ -144,12 +144,12 @@
         if self._watch:
             texts, self._body = self._objects.feed(bytes(self._body)), bytearray()
         else:
-            if len(self._body) > MAX_LINE:
-                raise BadLine("a list without end")
+            if len(self._body) > MAX_UPDATE_BYTES:
+                raise MalformedUpdate("a list without end")
             texts = [bytes(self._body)] if self._done else []
         for text in texts:
-            if not self.over:
-                self._owner.line(self, text)
+            if not self.closed:
+                self._owner.on_update(self, text)
 
     def on_headers_complete(self) -> None:
         self._status = self._parser.get_status_code()
@@ -173,12 +173,12 @@
     def due(self) -> int:
         """From when on it counts as silent: the other side may have vanished without a word."""
         if self.heard:
-            return self.heard + SILENT
+            return self.heard + WATCH_SILENCE_TIMEOUT_NS
         return self.begun + (CONNECT if self.transport is None else CALL)
 
     def close(self) -> None:
         """It is wanted no longer."""
-        self.over = True
+        self.closed = True
         if self.transport is not None:
             self.transport.abort()
         for task in self.tries.values():
--- a/gateway/clocks.py
+++ b/gateway/discovery_timeouts.py
@@ -29,9 +29,9 @@
 from bridgesaddle.api import MS, SECOND
 from bridgesaddle.lease import TOLD
 
-HEARTBEAT = 2 * SECOND
+HEARTBEAT_INTERVAL_NS = 2 * SECOND
 """An empty line comes so often while nothing changes."""
-LATE_BEAT = 200 * MS
+HEARTBEAT_TOLERANCE_NS = 200 * MS
 """A heartbeat may be late by so much."""
 TURN = TOLD // 2
 """What a rest leaves to the next call for its turn, at a discovery that serves all gateways.
@@ -40,16 +40,16 @@
 """
 CALL = TURN + SECOND // 2
 """Longest wait for the first line: the answer to a call that was a whole turn in the queue is still under way."""
-RENEW = HEARTBEAT + LATE_BEAT
+WATCH_RENEWAL_NS = HEARTBEAT_INTERVAL_NS + HEARTBEAT_TOLERANCE_NS
 """A watch that has been silent so long may be dead: another one is begun beside it, and the first to speak stays."""
-SILENT = 3 * SECOND
+WATCH_SILENCE_TIMEOUT_NS = 3 * SECOND
 """A watch that has been silent so long is dead: one heartbeat missed and half of one more."""
 CONNECT = 2 * SECOND
 """Longest wait for the connection itself, over all tries of a call."""
-TRY_AGAIN = 250 * MS
+CONNECT_RETRY_NS = 250 * MS
 """A connection that has not come up is tried again beside the one that waits: its SYN may be lost, and the kernel
 sends the next one after 1 s and after 3 s.  Doubles with each try, unless lists are pushed."""
-TRY_AGAIN_LEAST = 50 * MS
+MIN_CONNECT_RETRY_NS = 50 * MS
 TRIES = 6
 """Connections of one call that come up at the same time at most: the first one and the newest."""
 SECOND_CALL = 1500 * MS
@@ -67,11 +67,11 @@
 """Watches that fall silent together are begun anew so far apart, at random."""
 FIRST_CALL = 5 * MS
 """Processes that may start together make their first calls apart, at random within so long for each of them."""
-AT_ONCE = 100 * MS
+IMMEDIATE_FAILURE_NS = 100 * MS
 """A call that fails within this time has not waited its turn."""
 RESET_AT_ONCE = 30 * MS
 """A call that is reset within this time of its connection has met nobody: the loop may be as late to hear of it."""
-CROWDED_REST = 20 * MS
+OVERLOAD_BACKOFF_NS = 20 * MS
 """The rest after a call that was turned away after a wait: its turn is lost, and the lease runs on."""
 QUICK_RESTS = 3
 """So many answers in a row that can't be used are followed by a short rest: they may have been spoilt on the way."""
@@ -80,8 +80,8 @@
 def try_again_after(pushed: bool, grace_ns: int, tries: int) -> int:
     """How long after its last try a connection is tried once more, ns."""
     if pushed and grace_ns:
-        return max(TRY_AGAIN_LEAST, min(TRY_AGAIN, grace_ns // 4))
-    return TRY_AGAIN << min(tries - 1, 3)
+        return max(MIN_CONNECT_RETRY_NS, min(CONNECT_RETRY_NS, grace_ns // 4))
+    return CONNECT_RETRY_NS << min(tries - 1, 3)
 
 
 def cut_short_after(pushed: bool, grace_ns: int, cuts: int) -> int:
--- a/gateway/failover.py
+++ b/gateway/failover.py
@@ -22,10 +22,10 @@
 
 from bridgesaddle.api import SECOND, ListKind
 
-from .calls import Call
 from .discovery import Discovery
-from .lines import Change, Lines, Listed
+from .discovery_calls import DiscoveryCall
 from .timers import Timers
+from .update_parser import HostListUpdate, ListedHost, UpdateParser
 
 log = logging.getLogger("gateway.failover")
 
@@ -44,7 +44,7 @@
 Address = tuple[str, int]
 
 
-class KeptList:
+class CachedList:
     """One file: magic, CRC-32 and length, then the whole list in discovery's form.  Whole or not there."""
 
     def __init__(self, folder: str, name: str) -> None:
@@ -114,12 +114,12 @@
             os.utime(self.path)
 
 
-class Failover(Discovery):
+class FailoverDiscovery(Discovery):
     """`Discovery` at several addresses, in turn."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, addresses: Sequence[Address], lines: Lines,
-                 pushed: bool, tell: Callable[[ListKind, list[Listed]], None], kept: KeptList | None,
-                 grace_ns: int = 0, started_ns: int = 0) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, addresses: Sequence[Address],
+                 lines: UpdateParser, pushed: bool, tell: Callable[[ListKind, list[ListedHost]], None],
+                 kept: CachedList | None, grace_ns: int = 0, started_ns: int = 0) -> None:
         self._all = list(addresses)
         random.shuffle(self._all)      # gateways spread over the services
         super().__init__(loop, timers, self._all[0], lines, pushed, tell, grace_ns, started_ns)
@@ -135,23 +135,23 @@
 
     # ---- What is told ------------------------------------------------------------------------------------
 
-    def known(self, listed: Any) -> None:
+    def load_known_list(self, listed: Any) -> None:
         """The newer of the configuration's list and the one that was kept."""
         kept = self._kept.read() if self._kept is not None else None
         if not isinstance(listed, dict):
-            super().known(listed)
+            super().load_known_list(listed)
             listed = {}
         if kept is not None and (not listed.get("instances") or kept["generation"] > listed.get("generation", 0)):
             listed = kept
-        super().known(listed)
+        super().load_known_list(listed)
         rows = listed.get("instances")
         self._rows = {row["instanceId"]: row for row in (rows if isinstance(rows, list) else ())
                       if isinstance(row, dict) and isinstance(row.get("instanceId"), str)}
 
-    def _doubt(self, told: dict[str, Any], change: Change) -> str:
+    def _doubt(self, told: dict[str, Any], change: HostListUpdate) -> str:
         if change.generation < self.generation:
             return f"a list of version {change.generation} after {self.generation}"
-        rows = {} if change.whole else dict(self._rows)
+        rows = {} if change.is_full else dict(self._rows)
         for row in told["instances"]:
             if isinstance(row, dict) and isinstance(row.get("instanceId"), str):
                 if row.get("lifecycle") == "terminated":
@@ -160,7 +160,7 @@
                     rows[row["instanceId"]] = row
         if self._rows and not rows:
             return "a list that leaves no host"
-        if change.whole and len(change.listed) * 2 < len(told["instances"]):
+        if change.is_full and len(change.hosts) * 2 < len(told["instances"]):
             return "a list that can't be read for the most part"
         self._rows = rows
         self._failed = 0
@@ -197,7 +197,7 @@
 
     # ---- Services ----------------------------------------------------------------------------------------
 
-    def _over(self, call: Call, why: str, failed: bool) -> None:
+    def _over(self, call: DiscoveryCall, why: str, failed: bool) -> None:
         """A service has failed: on to the next; the module hears of it only once all have."""
         if not failed:
             super()._over(call, why, failed)
@@ -214,11 +214,11 @@
         if call is self._watch:
             self._watch = None
             self._watch_after(soon)
-        elif call is self._fetch:
-            self._fetch = None
+        elif call is self._list_call:
+            self._list_call = None
             self._timers.after(soon, lambda _: self.fetch(), None)
 
-    def move(self, address: Address, lines: Lines, pushed: bool, others: Sequence[Address] = ()) -> None:
+    def reconfigure(self, address: Address, lines: UpdateParser, pushed: bool, others: Sequence[Address] = ()) -> None:
         """Other services from now on; where there are the same ones nothing ends."""
         every = [address, *others]
         same = set(every) == set(self._all)
@@ -227,9 +227,9 @@
         if not same or lines.names != self._lines.names:
             self._rows = {}
             self._failed = 0
-        super().move(self._address if same else address, lines, pushed)
+        super().reconfigure(self._address if same else address, lines, pushed)
 
-    def fell_silent(self, call: Call) -> None:
+    def fell_silent(self, call: DiscoveryCall) -> None:
         """Another service may speak."""
         self.ended(call, "silent")
 
--- a/gateway/peers.py
+++ b/gateway/peers.py
@@ -15,7 +15,7 @@
 Address = tuple[str, int]
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerSocket(asyncio.DatagramProtocol):
     """The one UDP socket.  A sender is known by its address; anything else is dropped."""
 
     def __init__(self, peers: Sequence[Address], everyone: Address | None,
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -28,14 +28,14 @@
 from .handover import Handover, host_and_port
 from .holdups import HoldUps
 from .kernel import process_started_ns
-from .lines import Lines, Listed
 from .listener import Listener, listening
-from .peers import Peers
+from .peers import PeerSocket
 from .server import Server
-from .starts import StartTimes
+from .start_times import StartTimes
 from .stats import Stats
 from .timers import Timers, now_ns
 from .transient import DISK, OWN, pauses, persistently_at_once
+from .update_parser import ListedHost, UpdateParser
 from .upstream import Upstream
 
 log = logging.getLogger("gateway")
@@ -187,24 +187,24 @@
                                   settings.limits.connect_timeout_ns, settings.limits.conn_idle_ns,
                                   self.stats, self.room)
         self._starts = StartTimes()
-        lines = Lines(config.zones, config.kinds, self._starts)
+        lines = UpdateParser(config.zones, config.kinds, self._starts)
         self.discovery: Discovery
         if config.others or config.list_folder:
-            from .failover import Failover, KeptList
-            kept = KeptList(config.list_folder, config.name) if config.list_folder else None
-            self.discovery = Failover(loop, self.timers, [config.discovery, *config.others], lines,
+            from .failover import CachedList, FailoverDiscovery
+            kept = CachedList(config.list_folder, config.name) if config.list_folder else None
+            self.discovery = FailoverDiscovery(loop, self.timers, [config.discovery, *config.others], lines,
                                       not settings.ask_discovery, self._on_list, kept, settings.rules.drain_grace_ns,
                                       started_ns)
         else:
             self.discovery = Discovery(loop, self.timers, config.discovery, lines, not settings.ask_discovery,
                                        self._on_list, settings.rules.drain_grace_ns, started_ns)
         self.core.attach(self.upstream, self.discovery)
-        self.upstream.before_send = lambda: self.discovery.catch_up(now_ns())
+        self.upstream.before_send = lambda: self.discovery.read_pending(now_ns())
         self.upstream.may_send = lambda: self.discovery.may_send(now_ns())
-        self.discovery.on_lease = self._on_lease
-        self.discovery.together = settings.replicas
-        self.discovery.unread_for = self.holdups.waited
-        self.holdups.on_held.append(self.discovery.on_held)
+        self.discovery.on_lease_changed = self._on_lease
+        self.discovery.gateway_count = settings.replicas
+        self.discovery.read_delay_ns = self.holdups.waited
+        self.holdups.on_held.append(self.discovery.on_stall)
         self.server = Server(self.core, self.timers, settings, clients, self.stats, self.room)
         self.admin = Admin({("GET", "/_ready"): self._ready, ("GET", "/_vars"): self._vars,
                             ("POST", "/_lameduck/on"): lambda: self._drain(True),
@@ -226,7 +226,8 @@
         self.holdups.start()
         self.handover.register()
         beside = self._look()
-        self.discovery.known(self._config.known)   # before anything is waited for: SIGHUP may bring a newer list
+        # Before anything is waited for: SIGHUP may bring a newer list.
+        self.discovery.load_known_list(self._config.known)
         self.discovery.start()
         if self._config.operator is not None:
             self.operator = await self.admin.listen(self._loop, self._config.operator)
@@ -245,7 +246,7 @@
                                          wanted=lambda: not self._stop_at)
         self.handover.serving()
         if self._config.settings.limits.peers and self._config.peer_listen is not None:
-            self.core.peers = Peers(self._config.peers, self._config.peers_all, self.core.on_peer)
+            self.core.peers = PeerSocket(self._config.peers, self._config.peers_all, self.core.on_peer)
             peers = self.core.peers
             await self._loop.create_datagram_endpoint(lambda: peers, self._config.peer_listen,
                                                       reuse_port=True)
@@ -266,7 +267,7 @@
             raise BadConfig(f"can't listen: {error}") from None
         await self._done.wait()
 
-    def _on_list(self, kind: ListKind, listed: list[Listed]) -> None:
+    def _on_list(self, kind: ListKind, listed: list[ListedHost]) -> None:
         self.core.on_list(kind, listed)
         if kind is ListKind.FULL or kind is ListKind.DELTA:
             self._told.set()
@@ -313,7 +314,7 @@
     def _sweep(self, _: None) -> None:
         self.timers.after(SWEEP, self._sweep, None)   # first: one that fails must not be the last
         now = now_ns()
-        self._starts.look()
+        self._starts.update_offsets()
         self.upstream.sweep(now)
         self.server.sweep(now)
         self.admin.sweep(now)
@@ -332,7 +333,7 @@
         return (200, b"draining\n") if on else (200, b"taking clients\n")
 
     def _vars(self) -> Answered:
-        heard_at = self.discovery.heard_at
+        heard_at = self.discovery.last_received_ns
         return 200, self.stats.text({
             "pending": self.server.pending, "members": self.upstream.listed,
             "members_unavailable": self.core.members_unavailable(),
@@ -344,7 +345,7 @@
 
     def reload(self) -> None:
         """SIGHUP: settings may have changed, discovery moved; a file that is not right changes nothing."""
-        self.discovery.reloaded()
+        self.discovery.on_reload()
         self._reload(pauses(RELOAD_S))
 
     def _reload(self, again: Iterator[float]) -> None:
@@ -367,8 +368,8 @@
         self.upstream.on_settings(settings.limits.connect_timeout_ns, settings.limits.conn_idle_ns)
         self._columns = told.columns
         self.core.on_settings(settings, told.columns)
-        self.discovery.follow(not settings.ask_discovery, settings.rules.drain_grace_ns)
-        self.discovery.move(told.discovery, Lines(told.zones, told.kinds, self._starts),
+        self.discovery.update_settings(not settings.ask_discovery, settings.rules.drain_grace_ns)
+        self.discovery.reconfigure(told.discovery, UpdateParser(told.zones, told.kinds, self._starts),
                             not settings.ask_discovery, told.others)
 
     def stop(self) -> None:
--- a/gateway/reachability.py
+++ b/gateway/reachability.py
@@ -32,14 +32,14 @@
     def _is_confirmed(self) -> bool:
         return self._missed >= CONFIRMED and len(self._addresses) >= self.services
 
-    def missed(self, address: Address) -> bool:
+    def record_failure(self, address: Address) -> bool:
         """A call could not reach the service at this address; whether discovery is down by that."""
         self._missed += 1
         self._addresses.add(address)
         self.down = self._is_confirmed
         return self.down
 
-    def reached(self) -> None:
+    def record_success(self) -> None:
         """A call has come up and was not reset at once, or other services are asked from now on."""
         self.down = False
         self._missed = 0
--- a/gateway/starts.py
+++ b/gateway/start_times.py
@@ -35,7 +35,7 @@
         self._offsets = [offset()]
         self._known: dict[HostId, tuple[int, int]] = {}   # as told, ms; monotonic, ns
 
-    def look(self) -> None:
+    def update_offsets(self) -> None:
         """Notice a step of the wall clock: called now and then, and at each list."""
         self._learn(self._offset())
 
--- a/gateway/lines.py
+++ b/gateway/update_parser.py
@@ -10,51 +10,51 @@
 
 from bridgesaddle.api import HostEntry, HostId, HostState
 
-from .starts import StartTimes
+from .start_times import StartTimes
 from .timers import now_ns
 
 log = logging.getLogger("gateway.lines")
 
-MAX_LINE = 8 * 1024 * 1024
+MAX_UPDATE_BYTES = 8 * 1024 * 1024
 STATES = {"in_service": HostState.READY, "terminating": HostState.DRAINING, "terminated": HostState.GONE}
 
 
-class Listed(NamedTuple):
+class ListedHost(NamedTuple):
     """A line of the list: what the module is told, and where the host listens."""
 
     entry: HostEntry
     address: tuple[str, int]
 
 
-class Change(NamedTuple):
+class HostListUpdate(NamedTuple):
     """An object of discovery: its version, whether it names all hosts, and its entries."""
 
     generation: int
-    whole: bool
-    listed: list[Listed]
+    is_full: bool
+    hosts: list[ListedHost]
 
 
-class BadLine(Exception):
+class MalformedUpdate(Exception):
     """A line of discovery that can't be used."""
 
 
-class Lines:
+class UpdateParser:
     """Turns discovery's objects into entries; names become the numbers of the settings."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str], starts: StartTimes) -> None:
         self.names = (tuple(zones), tuple(kinds))
         self._zones = {name: index for index, name in enumerate(zones)}
         self._kinds = {name: index for index, name in enumerate(kinds)}
-        self._last: dict[HostId, Listed] = {}   # each listed host as it was last told
+        self._last: dict[HostId, ListedHost] = {}   # each listed host as it was last told
         self._starts = starts
 
-    def parse(self, line: Any, not_before: int = 0) -> Change:
+    def parse(self, line: Any, not_before: int = 0) -> HostListUpdate:
         """Read an object and take it in."""
         change = self.read(line, not_before)
         self.accept(change)
         return change
 
-    def read(self, line: Any, not_before: int = 0) -> Change:
+    def read(self, line: Any, not_before: int = 0) -> HostListUpdate:
         """What an object says; a broken entry is logged and dropped.  Nothing of it is remembered before `accept`.
 
         `not_before`: when the list before it was heard, which new starts can't precede; 0: there was none.
@@ -63,12 +63,12 @@
             generation, rows = int(line["generation"]), line["instances"]
             whole = line.get("reset", False)
             if not isinstance(rows, list) or not isinstance(whole, bool):
-                raise BadLine("instances or reset are of the wrong kind")
+                raise MalformedUpdate("instances or reset are of the wrong kind")
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise BadLine(repr(error)) from None
+            raise MalformedUpdate(repr(error)) from None
         listed = []
         now = now_ns()
-        self._starts.look()
+        self._starts.update_offsets()
         self._starts.newest(max((_started(row) for row in rows), default=0), now)
         for row in rows:
             try:
@@ -77,19 +77,19 @@
                 log.warning("broken entry: %r: %.200r", error, row)
                 if (kept := self._mended(row)) is not None:
                     listed.append(kept)
-        return Change(generation, whole, listed)
+        return HostListUpdate(generation, whole, listed)
 
-    def accept(self, change: Change) -> None:
+    def accept(self, change: HostListUpdate) -> None:
         """The object is believed: broken entries of later ones are mended by it."""
-        if change.whole:
+        if change.is_full:
             self._last.clear()
-        for item in change.listed:
+        for item in change.hosts:
             self._last[item.entry.host] = item
             if item.entry.state is HostState.GONE:
                 del self._last[item.entry.host]
         self._starts.forget(self._last.keys())
 
-    def _mended(self, row: Any) -> Listed | None:
+    def _mended(self, row: Any) -> ListedHost | None:
         """A broken entry of a host that is known: as it was, but for a state that can be read.
 
         Guards against a host that goes because of a figure that can't be read, and one that drains unheard.
@@ -102,7 +102,7 @@
             return known
         return known._replace(entry=known.entry._replace(state=state))
 
-    def _entry(self, row: dict[str, Any], now: int, not_before: int) -> Listed:
+    def _entry(self, row: dict[str, Any], now: int, not_before: int) -> ListedHost:
         address, _, port = row["hostPort"].rpartition(":")
         started, weight = int(row.get("startedAtMs") or 0), float(row.get("weight", 1.0))
         if not address or not 0 < int(port) < 65536 or not math.isfinite(weight) or started < 0:
@@ -113,7 +113,7 @@
         entry = HostEntry(host, self._zones[row["zone"]], self._kinds.get(row.get("machineType", ""), 0),
                           int(row.get("cell", 0)), STATES[row["lifecycle"]], weight,
                           self._starts.of(host, started, now, not_before))
-        return Listed(entry, (address.strip("[]"), int(port)))
+        return ListedHost(entry, (address.strip("[]"), int(port)))
 
 
 def _started(row: Any) -> int:
@@ -158,8 +158,8 @@
                 whole.append(b"\n".join(self._lines))
                 self._lines.clear()
                 self._size = len(rest)
-        if self._size > MAX_LINE:
-            raise BadLine("an object without end")
+        if self._size > MAX_UPDATE_BYTES:
+            raise MalformedUpdate("an object without end")
         if not self._lines:
             self._size = len(rest)
         return whole
@@ -168,21 +168,21 @@
         """One more line; whether it makes the object whole."""
         if not line:
             if self._lines:
-                raise BadLine("an empty line in an object")
+                raise MalformedUpdate("an empty line in an object")
             return False
         if _BEGIN.search(line, 1) or (self._lines and _BEGIN.match(line)):
-            raise BadLine("an object behind one that was cut short")
+            raise MalformedUpdate("an object behind one that was cut short")
         bare = _TEXTS.sub(b"", line)
         if b'"' in bare:
-            raise BadLine("a string without end")
+            raise MalformedUpdate("a string without end")
         if not self._open and bare[:1] != b"{":
-            raise BadLine("no object")
+            raise MalformedUpdate("no object")
         if self._open[-1:] == b"{" and bare[:1] in b"{[" and not self._lines[-1].endswith(b":"):
-            raise BadLine("an object in an object")
+            raise MalformedUpdate("an object in an object")
         for bracket in bare.translate(None, _NO_BRACKETS):
             if bracket in b"{[":
                 self._open.append(bracket)
             elif not self._open or self._open.pop() != bracket - 2:
-                raise BadLine("brackets that do not fit")
+                raise MalformedUpdate("brackets that do not fit")
         self._lines.append(line)
         return not self._open
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -19,10 +19,10 @@
 from .body import PIECE, Body, Room
 from .events import event
 from .kernel import waiting, write_within
-from .lines import Listed
 from .stats import Stats
 from .timers import Timers, now_ns
 from .transient import OWN
+from .update_parser import ListedHost
 
 log = logging.getLogger("gateway.upstream")
 
@@ -462,7 +462,7 @@
         self._connect_timeout = connect_timeout_ns or 250 * MS
         self._idle = int(idle_ns * IDLE_PART) if idle_ns else IDLE_DEFAULT
 
-    def apply(self, whole: bool, listed: Iterable[Listed]) -> None:
+    def apply(self, whole: bool, listed: Iterable[ListedHost]) -> None:
         """Take in the list before anything more is sent; connections to what is gone are dropped."""
         seen = set()
         for entry, address in listed:
--- a/tests/orders/play.py
+++ b/tests/orders/play.py
@@ -19,9 +19,9 @@
 import gateway.discovery
 from bridgesaddle.api import ListKind
 from gateway.discovery import Discovery
-from gateway.lines import Lines, Listed
-from gateway.starts import StartTimes
+from gateway.start_times import StartTimes
 from gateway.timers import Timers
+from gateway.update_parser import ListedHost, UpdateParser
 from tests.virtual import HEAD, TURNED_AWAY, Clock, Task, Wire, line, never
 
 from .draw import Answer, Kind, Step
@@ -216,15 +216,15 @@
         self.told = False
         self.follows = known     # the version of the list that it has; SIGHUP sets `generation` back
         fixed: list[Any] = [cast(asyncio.AbstractEventLoop, self), cast(Timers, self), ("127.0.0.1", self.address),
-                            Lines(["a"], [], StartTimes()), play.world.pushed, self._tell, GRACE]
+                            UpdateParser(["a"], [], StartTimes()), play.world.pushed, self._tell, GRACE]
         if "started_ns" in inspect.signature(Discovery).parameters:
             fixed.append(started)
         self.discovery = Discovery(*fixed)
-        self.discovery.unread_for = self._unread_for
-        self.discovery.known({"generation": known, "reset": True, "instances": []})
+        self.discovery.read_delay_ns = self._unread_for
+        self.discovery.load_known_list({"generation": known, "reset": True, "instances": []})
         self.discovery.start()
 
-    def _tell(self, kind: ListKind, listed: list[Listed]) -> None:
+    def _tell(self, kind: ListKind, listed: list[ListedHost]) -> None:
         if kind in (ListKind.FULL, ListKind.DELTA):
             self.told = True
             self.follows = self.discovery.generation
@@ -314,7 +314,7 @@
         if now - since > HELD:
             self._held_since = since - (since - self._begun) % TICK
             self._held_until = now + SETTLES
-            if (on_held := getattr(self.discovery, "on_held", None)) is not None:
+            if (on_held := getattr(self.discovery, "on_stall", None)) is not None:
                 on_held(now - since)
         reads, self._reads = self._reads, []
         due, self._due = self._due, []
@@ -470,8 +470,9 @@
 
     def _reload(self, process: Process) -> None:
         process.address = self.address
-        process.discovery.reloaded()
-        process.discovery.move(("127.0.0.1", self.address), Lines(["a"], [], StartTimes()), self.world.pushed)
+        process.discovery.on_reload()
+        process.discovery.reconfigure(("127.0.0.1", self.address), UpdateParser(["a"], [], StartTimes()),
+                                      self.world.pushed)
 
     def _on_stop(self, _: Step, span: int) -> None:
         self._faults += 1
--- a/tests/test_calls_in_vain.py
+++ b/tests/test_calls_in_vain.py
@@ -19,11 +19,11 @@
 
 def test_several_misses_of_one_service_show_nothing_of_the_others() -> None:
     reach = Reachability(services=3)
-    assert not any(reach.missed(FIRST) for _ in range(5))
-    assert not reach.missed(SECOND_SERVICE)
-    assert reach.missed(THIRD)
-    reach.reached()
-    assert not reach.missed(THIRD)
+    assert not any(reach.record_failure(FIRST) for _ in range(5))
+    assert not reach.record_failure(SECOND_SERVICE)
+    assert reach.record_failure(THIRD)
+    reach.record_success()
+    assert not reach.record_failure(THIRD)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -65,7 +65,7 @@
     monkeypatch.setitem(WAYS, "falls silent", tells_twice)
     monkeypatch.setitem(WAYS, "tells late", tells_late)
     stage = Served(monkeypatch, ["tells late"], NEVER_BACK, 0, False, 1)
-    stage.clock.at(stage.clock.now, lambda _: stage.discovery.reloaded(), None)
+    stage.clock.at(stage.clock.now, lambda _: stage.discovery.on_reload(), None)
     stage.clock.run(stage.clock.now + 4240 * MS, lambda: False)   # before another call is made
     assert stage.loop.calls >= 2
     assert stage.discovery.generation == OLD + 3
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,8 +14,8 @@
 from gateway.body import Body
 from gateway.core import Core
 from gateway.discovery import Discovery
-from gateway.lines import Listed
 from gateway.timers import Timers
+from gateway.update_parser import ListedHost
 from gateway.upstream import Upstream
 from tests.gateway import some_settings
 
@@ -35,7 +35,7 @@
         self.core = Core(settings, 1, cast(Timers, self))
         self.core.attach(cast(Upstream, self), cast(Discovery, self))
         hosts = [HostEntry(f"h{number}", 0, 0, 0, HostState.READY) for number in range(4)]
-        self.core.on_list(ListKind.FULL, [Listed(host, ("127.0.0.1", 1)) for host in hosts])
+        self.core.on_list(ListKind.FULL, [ListedHost(host, ("127.0.0.1", 1)) for host in hosts])
 
     # The timers.
 
@@ -54,7 +54,7 @@
 
     generation = 0
 
-    def catch_up(self, now_ns: int) -> None:
+    def read_pending(self, now_ns: int) -> None:
         pass
 
     def may_send(self, now_ns: int) -> bool:
@@ -62,7 +62,7 @@
 
     # The host connections.
 
-    def apply(self, whole: bool, listed: list[Listed]) -> None:
+    def apply(self, whole: bool, listed: list[ListedHost]) -> None:
         pass
 
     def start(self, attempt: Attempt) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,11 +10,11 @@
 import pytest
 
 from bridgesaddle.api import MS, SECOND, HostState, ListKind
-from gateway.clocks import AT_ONCE
 from gateway.discovery import Discovery
-from gateway.lines import MAX_LINE, Lines, Listed
-from gateway.starts import StartTimes
+from gateway.discovery_timeouts import IMMEDIATE_FAILURE_NS
+from gateway.start_times import StartTimes
 from gateway.timers import Timers, now_ns
+from gateway.update_parser import MAX_UPDATE_BYTES, ListedHost, UpdateParser
 from tests.sockets import FakeDiscovery, FakeHost, Stage, play, request, until
 
 ROW: dict[str, Any] = {"instanceId": "h0", "hostPort": "127.0.0.1:7070", "zone": "b", "machineType": "m2",
@@ -25,23 +25,23 @@
     """A `Discovery` and what it tells."""
 
     def __init__(self, pushed: bool = False) -> None:
-        self.told: asyncio.Queue[tuple[ListKind, list[Listed]]] = asyncio.Queue()
+        self.told: asyncio.Queue[tuple[ListKind, list[ListedHost]]] = asyncio.Queue()
         self.pushed = pushed
 
     async def start(self) -> tuple[FakeDiscovery, Discovery]:
         loop, fake = asyncio.get_running_loop(), await FakeDiscovery().start()
         host, _, port = fake.address.rpartition(":")
-        lines = Lines(["a", "b"], ["m1", "m2"], StartTimes(lambda: 10 * MS))
+        lines = UpdateParser(["a", "b"], ["m1", "m2"], StartTimes(lambda: 10 * MS))
         discovery = Discovery(loop, Timers(loop), (host, int(port)), lines,
                               self.pushed, lambda kind, listed: self.told.put_nowait((kind, listed)))
-        discovery.known({"generation": 41, "reset": True, "instances": [ROW]})
+        discovery.load_known_list({"generation": 41, "reset": True, "instances": [ROW]})
         assert [(kind, len(listed)) for kind, listed in [await self.told.get()]] == [(ListKind.CACHED, 1)]
         discovery.start()
         return fake, discovery
 
 
 def test_an_entry_is_read() -> None:
-    generation, whole, [(entry, address)] = Lines(["a", "b"], ["m1", "m2"], StartTimes(lambda: 10 * MS)).parse(
+    generation, whole, [(entry, address)] = UpdateParser(["a", "b"], ["m1", "m2"], StartTimes(lambda: 10 * MS)).parse(
         {"generation": 41, "reset": True, "instances": [ROW]})
     assert (generation, whole, address) == (41, True, ("127.0.0.1", 7070))
     assert entry == ("h0", 1, 1, 3, HostState.READY, 1.5, 2010 * MS)
@@ -52,7 +52,7 @@
     {"weight": float("inf")}, {"instanceId": 7}, {"cell": "x"}, {"startedAtMs": -1},
 ])
 def test_a_broken_entry_is_dropped_and_the_others_count(change: dict[str, Any]) -> None:
-    _, _, listed = Lines(["a", "b"], ["m1", "m2"], StartTimes()).parse(
+    _, _, listed = UpdateParser(["a", "b"], ["m1", "m2"], StartTimes()).parse(
         {"generation": 41, "instances": [{**ROW, **change}, {**ROW, "instanceId": "h1"}, None]})
     assert [item.entry.host for item in listed] == ["h1"]
 
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("line", [b"{not json}\n", b"[1]\n", b'{"generation": 44}\n', b"[" * 9999 + b"\n",
-                                  b"x" * (MAX_LINE + 1)])
+                                  b"x" * (MAX_UPDATE_BYTES + 1)])
 def test_a_broken_line_is_dropped_and_its_changes_are_asked_for_again(line: bytes) -> None:
     async def scene() -> None:
         heard = Heard()
@@ -173,7 +173,7 @@
         rests = []
         _, writer = await fake.calls.get()
         for _ in range(3):
-            waited = now_ns() + AT_ONCE
+            waited = now_ns() + IMMEDIATE_FAILURE_NS
             await until(lambda waited=waited: now_ns() > waited)   # type: ignore[misc]
             writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             assert (await heard.told.get())[0] is ListKind.FAILED
@@ -223,7 +223,7 @@
         left = [await old.calls.get() for _ in range(2)]
         new = await FakeDiscovery().start()
         host, _, port = new.address.rpartition(":")
-        discovery.move((host, int(port)), Lines(["a"], [], StartTimes()), False)
+        discovery.reconfigure((host, int(port)), UpdateParser(["a"], [], StartTimes()), False)
         calls = dict([await new.calls.get() for _ in range(2)])
         assert sorted(first.split()[1] for first in calls) == [
             "/registry/instances", "/registry/instances?watch=1&from=0"]
@@ -304,7 +304,7 @@
 
 
 def test_a_broken_entry_of_a_known_host_costs_no_change_and_makes_none() -> None:
-    lines = Lines(["a", "b"], ["m1", "m2"], StartTimes())
+    lines = UpdateParser(["a", "b"], ["m1", "m2"], StartTimes())
     lines.parse({"generation": 41, "instances": [ROW, {**ROW, "instanceId": "h1"}]})
     broken = {**ROW, "zone": "z"}
     for row, state in ((broken, HostState.READY), ({**broken, "lifecycle": "odd"}, HostState.READY),
--- a/tests/test_incident_27.py
+++ b/tests/test_incident_27.py
@@ -17,12 +17,12 @@
 import uvloop
 
 from bridgesaddle.api import HostState, ListKind
-from gateway.calls import Call
 from gateway.discovery import Discovery
-from gateway.failover import Failover, KeptList
-from gateway.lines import Lines
-from gateway.starts import StartTimes
+from gateway.discovery_calls import DiscoveryCall
+from gateway.failover import CachedList, FailoverDiscovery
+from gateway.start_times import StartTimes
 from gateway.timers import Timers
+from gateway.update_parser import UpdateParser
 from tests.soak.plan import Fault, Plan
 from tests.soak.play import Play, Played, build_shim, play
 
@@ -107,16 +107,16 @@
             raise OSError(errno.ENOSPC, "no space left")
     monkeypatch.setattr(os, "fsync", no_room)
     (tmp_path / "list-n0.json.999999999.new").write_text("half")   # of a process that was killed in the middle
-    kept = KeptList(str(tmp_path), "n0")
+    kept = CachedList(str(tmp_path), "n0")
 
     async def scene() -> None:
         loop = asyncio.get_running_loop()
-        discovery = Failover(loop, Timers(loop), [("127.0.0.1", 1)], Lines(["a"], [], StartTimes()), True,
-                             lambda kind, listed: None, kept)
-        discovery.known({"generation": 1, "reset": True, "instances": []})
-        call = Call(discovery, True)
+        discovery = FailoverDiscovery(loop, Timers(loop), [("127.0.0.1", 1)], UpdateParser(["a"], [], StartTimes()),
+                                      True, lambda kind, listed: None, kept)
+        discovery.load_known_list({"generation": 1, "reset": True, "instances": []})
+        call = DiscoveryCall(discovery, True)
         row = {"instanceId": "h0", "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": "in_service"}
-        discovery.line(call, json.dumps({"generation": 2, "reset": True, "instances": [row]}).encode())
+        discovery.on_update(call, json.dumps({"generation": 2, "reset": True, "instances": [row]}).encode())
         until = time.monotonic() + 10
         while kept.read() is None and time.monotonic() < until:
             await asyncio.sleep(0.05)
@@ -128,11 +128,11 @@
 
 
 def test_a_list_that_is_refused_changes_nothing_that_is_remembered() -> None:
-    lines = Lines(["a"], [], StartTimes())
+    lines = UpdateParser(["a"], [], StartTimes())
     row = {"instanceId": "h0", "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": "in_service"}
     lines.parse({"generation": 1, "reset": True, "instances": [row]})
     lines.read({"generation": 0, "reset": True, "instances": []})   # not accepted
-    [item] = lines.read({"generation": 2, "instances": [{**row, "zone": "z"}]}).listed
+    [item] = lines.read({"generation": 2, "instances": [{**row, "zone": "z"}]}).hosts
     assert item.entry.host == "h0"   # its broken entry is still mended by what was accepted
 
 
@@ -141,9 +141,9 @@
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         told: list[tuple[ListKind, list[HostState]]] = []
-        discovery = Discovery(loop, Timers(loop), ("127.0.0.1", 1), Lines(["a"], [], StartTimes()), False,
+        discovery = Discovery(loop, Timers(loop), ("127.0.0.1", 1), UpdateParser(["a"], [], StartTimes()), False,
                               lambda kind, listed: told.append((kind, [item.entry.state for item in listed])))
-        discovery.known({"generation": 1, "reset": True, "instances": []})
+        discovery.load_known_list({"generation": 1, "reset": True, "instances": []})
         discovery.watch(True)
         call = discovery._watch
         assert call is not None
@@ -151,11 +151,11 @@
         def line(generation: int, lifecycle: str) -> bytes:
             return json.dumps({"generation": generation, "instances": [{
                 "instanceId": "h0", "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": lifecycle}]}).encode()
-        discovery.line(call, line(3, "terminating"))
+        discovery.on_update(call, line(3, "terminating"))
         if first:
-            call.told = 0
-        discovery.line(call, line(2, "in_service"))
+            call.first_list_ns = 0
+        discovery.on_update(call, line(2, "in_service"))
         assert told[1:] == [(ListKind.DELTA, [HostState.DRAINING]), (ListKind.FAILED, [])]
-        assert (call.over, discovery.since) == (True, 0)   # the whole list is asked for
+        assert (call.closed, discovery.resume_generation) == (True, 0)   # the whole list is asked for
         discovery.close()
     uvloop.run(scene())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -19,10 +19,10 @@
 from hypothesis import strategies as st
 
 from bridgesaddle.api import ListKind
-from gateway.failover import Failover, KeptList
-from gateway.lines import Lines, Listed
-from gateway.starts import StartTimes
+from gateway.failover import CachedList, FailoverDiscovery
+from gateway.start_times import StartTimes
 from gateway.timers import Timers
+from gateway.update_parser import ListedHost, UpdateParser
 from moleworks.registry.expiry import Expiry, Limits
 from moleworks.registry.lists import Lists, Wrong
 from moleworks.registry.mirror import Host, Mirror
@@ -189,18 +189,19 @@
 
 
 async def follow(addresses: list[tuple[str, int]], until: Callable[[list[tuple[ListKind, list[str]]]], bool],
-                 known: dict[str, Any], kept: KeptList | None = None) -> list[tuple[ListKind, list[str]]]:
+                 known: dict[str, Any], kept: CachedList | None = None) -> list[tuple[ListKind, list[str]]]:
     """What a gateway's discovery tells the module, until that says it is enough."""
     told: list[tuple[ListKind, list[str]]] = []
     enough = asyncio.Event()
 
-    def tell(kind: ListKind, listed: list[Listed]) -> None:
+    def tell(kind: ListKind, listed: list[ListedHost]) -> None:
         told.append((kind, [str(item.entry.host) for item in listed]))
         if until(told):
             enough.set()
     loop = asyncio.get_running_loop()
-    discovery = Failover(loop, Timers(loop), addresses, Lines(["z"], [""], StartTimes()), True, tell, kept)
-    discovery.known(known)
+    discovery = FailoverDiscovery(loop, Timers(loop), addresses, UpdateParser(["z"], [""], StartTimes()), True, tell,
+                                  kept)
+    discovery.load_known_list(known)
     discovery.start()
     try:
         async with asyncio.timeout(20):
@@ -218,7 +219,7 @@
         last = {"generation": 99, "reset": False, "instances": [row("h0", "terminated")]}
         good = {"generation": 12, "reset": False, "instances": [row("h1")]}
         for number, bad in enumerate((watched(old), watched(empty), watched(last), refuse, watched(ends=True))):
-            kept = KeptList(str(tmp_path), f"n{number}")
+            kept = CachedList(str(tmp_path), f"n{number}")
             async with Stand(bad) as one, Stand(watched(good)) as other:
                 told = await follow([one.at, other.at], lambda told: told[-1] == (ListKind.DELTA, ["h1"]), known, kept)
                 assert told == [(ListKind.CACHED, ["h0"]), (ListKind.DELTA, ["h1"])]     # it never heard of a failure
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -178,17 +178,24 @@
     new: str
 
 
-UNWATCHED = Mutation("gateway/discovery.py", "        return now <= self.lease.until_ns and not self._unsure(now)\n",
-                    "        return not self._unsure(now)\n")
+UNWATCHED = Mutation("gateway/discovery.py",
+                    "        return now <= self.lease.until_ns and not self._may_have_missed_end(now)\n",
+                    "        return not self._may_have_missed_end(now)\n")
 """Nothing happens at the end of the lease.  Where it is watched, no other safeguard's absence sends a request late."""
-NO_READ_AHEAD = Mutation("gateway/discovery.py", "        for call in (self._watch, self._second, self._fetch):\n",
+NO_READ_AHEAD = Mutation("gateway/discovery.py",
+                        "        for call in (self._watch, self._backup_watch, self._list_call):\n",
                         "        for call in ():\n")
 NO_WAITING = Mutation("gateway/holdups.py", "        return max(0, now - since - UNCOUNTED)\n", "        return 0\n")
-NO_TRIES = Mutation("gateway/clocks.py", "        return max(TRY_AGAIN_LEAST, min(TRY_AGAIN, grace_ns // 4))",
+NO_TRIES = Mutation("gateway/discovery_timeouts.py",
+                   "        return max(MIN_CONNECT_RETRY_NS, min(CONNECT_RETRY_NS, grace_ns // 4))",
                    "        return 60 * SECOND")
-LATE_RENEWAL = Mutation("gateway/clocks.py", "RENEW = HEARTBEAT + LATE_BEAT", "RENEW = 5 * SECOND")
-SILENT_LATE = Mutation("gateway/clocks.py", "SILENT = 3 * SECOND", "SILENT = 5 * SECOND")
-LONG_REST = Mutation("gateway/clocks.py", "CROWDED_REST = 20 * MS", "CROWDED_REST = 10 * SECOND")
+LATE_RENEWAL = Mutation("gateway/discovery_timeouts.py",
+                        "WATCH_RENEWAL_NS = HEARTBEAT_INTERVAL_NS + HEARTBEAT_TOLERANCE_NS",
+                        "WATCH_RENEWAL_NS = 5 * SECOND")
+SILENT_LATE = Mutation("gateway/discovery_timeouts.py",
+                       "WATCH_SILENCE_TIMEOUT_NS = 3 * SECOND", "WATCH_SILENCE_TIMEOUT_NS = 5 * SECOND")
+LONG_REST = Mutation("gateway/discovery_timeouts.py",
+                     "OVERLOAD_BACKOFF_NS = 20 * MS", "OVERLOAD_BACKOFF_NS = 10 * SECOND")
 """Drawn from half of it on: too long whatever is drawn."""
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -14,14 +14,14 @@
 
 import pytest
 
-import gateway.calls
 import gateway.discovery
+import gateway.discovery_calls
 from bridgesaddle.api import MS, SECOND, ListKind
 from gateway.discovery import Discovery
-from gateway.failover import Failover
-from gateway.lines import Lines, Listed
-from gateway.starts import StartTimes
+from gateway.failover import FailoverDiscovery
+from gateway.start_times import StartTimes
 from gateway.timers import Timers
+from gateway.update_parser import ListedHost, UpdateParser
 from tests.virtual import HEAD, TURNED_AWAY, Clock, Task, Wire, line, never
 
 TOLD = 6 * SECOND
@@ -117,26 +117,26 @@
     """How long after its return the service's list is heard, and the calls until then."""
     clock = Clock()
     loop = Loop(clock, ways, clock.now + back, turn)
-    for module in (gateway.discovery, gateway.calls):
+    for module in (gateway.discovery, gateway.discovery_calls):
         monkeypatch.setattr(module, "now_ns", lambda: clock.now)
     monkeypatch.setattr(random, "random", random.Random(seed).random)
     heard: list[int] = []
 
-    def tell(kind: ListKind, listed: list[Listed]) -> None:
+    def tell(kind: ListKind, listed: list[ListedHost]) -> None:
         if kind is ListKind.FULL and discovery.generation == NEW:
             heard.append(clock.now)
 
     fixed = (cast(asyncio.AbstractEventLoop, loop), cast(Timers, clock))
-    lines = Lines(["a"], [], StartTimes())
+    lines = UpdateParser(["a"], [], StartTimes())
     address = ("127.0.0.1", 1)
-    discovery = Failover(*fixed, [address, ("127.0.0.1", 2)], lines, pushed, tell, None, 300 * MS) if several \
+    discovery = FailoverDiscovery(*fixed, [address, ("127.0.0.1", 2)], lines, pushed, tell, None, 300 * MS) if several \
         else Discovery(*fixed, address, lines, pushed, tell, 300 * MS)
-    discovery.known({"generation": OLD, "reset": True, "instances": []})
+    discovery.load_known_list({"generation": OLD, "reset": True, "instances": []})
     discovery.watch(True)
     if moved:
         def sighup(_: None) -> None:
-            discovery.reloaded()
-            discovery.move(("127.0.0.1", 3), lines, pushed)
+            discovery.on_reload()
+            discovery.reconfigure(("127.0.0.1", 3), lines, pushed)
         clock.after(moved, sighup, None)
     returned = clock.now + back
     clock.run(returned + 3 * TOLD, lambda: bool(heard))
@@ -210,17 +210,17 @@
                  seed: int) -> None:
         self.clock = Clock()
         self.loop = Loop(self.clock, ["falls silent", *ways * 10_000], self.clock.now + back, turn)
-        for module in (gateway.discovery, gateway.calls):
+        for module in (gateway.discovery, gateway.discovery_calls):
             monkeypatch.setattr(module, "now_ns", lambda: self.clock.now)
         monkeypatch.setattr(random, "random", random.Random(seed).random)
         self.heard = 0
         self.discovery = Discovery(cast(asyncio.AbstractEventLoop, self.loop), cast(Timers, self.clock),
-                                   ("127.0.0.1", 1), Lines(["a"], [], StartTimes()), pushed, self._tell, GRACE)
-        self.discovery.known({"generation": OLD, "reset": True, "instances": []})
+                                   ("127.0.0.1", 1), UpdateParser(["a"], [], StartTimes()), pushed, self._tell, GRACE)
+        self.discovery.load_known_list({"generation": OLD, "reset": True, "instances": []})
         self.discovery.watch(True)
         self.silent_at = self.clock.now + 40 * MS
 
-    def _tell(self, kind: ListKind, listed: list[Listed]) -> None:
+    def _tell(self, kind: ListKind, listed: list[ListedHost]) -> None:
         if self.discovery.generation == NEW:
             self.heard = self.heard or self.clock.now
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -12,9 +12,9 @@
 from bridgesaddle.api import MS, SECOND, HostEntry, HostState, Outcome
 from gateway.attempt import Answer, Attempt
 from gateway.body import Room
-from gateway.lines import Listed
 from gateway.stats import Stats
 from gateway.timers import Timers, now_ns
+from gateway.update_parser import ListedHost
 from gateway.upstream import MAX_HEAD, Upstream
 from tests.sockets import OK, FakeHost, Stage, play, request, rested
 
@@ -32,7 +32,7 @@
 
     def tell(self, address: str, state: HostState = HostState.READY, started_ns: int = 0) -> None:
         host, _, port = address.rpartition(":")
-        self.upstream.apply(False, [Listed(HostEntry("h0", 0, 0, 0, state, 1.0, started_ns),
+        self.upstream.apply(False, [ListedHost(HostEntry("h0", 0, 0, 0, state, 1.0, started_ns),
                                            (host, int(port)))])
 
     def start(self, within: int = 9 * SECOND,
