--- a/gateway/core.py
+++ b/gateway/core.py
@@ -5,26 +5,35 @@
 """
 
 from __future__ import annotations
-
-import json
-import logging
-from collections import deque
-from collections.abc import Callable, Sequence
-from math import isnan
-from typing import Any, Protocol
-
-from bridgesaddle import Balancer
-from bridgesaddle.api import MS, Actions, Decisions, HostId, ListKind, Outcome, Settings
-
-from .attempt import Answer, Attempt
+from .attempt import Answer
+from .attempt import Attempt
 from .body import Body
 from .discovery import Discovery
 from .events import event
-from .lines import Listed
-from .peers import Peers
-from .stalls import READ_DELAY_TOLERANCE_NS, StallDetector
-from .timers import NO_DEADLINE_NS, Timers, now_ns
+from .peers import PeerSocket
+from .stalls import READ_DELAY_TOLERANCE_NS
+from .stalls import StallDetector
+from .timers import NO_DEADLINE_NS
+from .timers import Timers
+from .timers import now_ns
+from .update_parser import ListedHost
 from .upstream import Upstream
+from bridgesaddle import Balancer
+from bridgesaddle.api import Actions
+from bridgesaddle.api import Decisions
+from bridgesaddle.api import HostId
+from bridgesaddle.api import ListKind
+from bridgesaddle.api import MS
+from bridgesaddle.api import Outcome
+from bridgesaddle.api import Settings
+from collections import deque
+from collections.abc import Callable
+from collections.abc import Sequence
+from math import isnan
+from typing import Any
+from typing import Protocol
+import json
+import logging
 
 log = logging.getLogger("gateway.core")
 
@@ -178,7 +187,7 @@
         self._rid = 0
         self._requests: dict[int, Request] = {}
         self._take(settings, columns)
-        self.peers: Peers | None = None
+        self.peers: PeerSocket | None = None
         self.stall_detector: StallDetector | None = None
         self.upstream: Upstream
         self.discovery: Discovery
@@ -244,7 +253,7 @@
 
     def _catch_up(self) -> None:
         try:
-            self.discovery.catch_up(self._now)
+            self.discovery.read_pending(self._now)
         except Exception:   # guards against losing the event that waits behind it
             log.exception("discovery could not be read")
 
@@ -253,7 +262,7 @@
         self._take(settings, columns)
         self._event(self._module.on_settings, None, settings)
 
-    def on_list(self, kind: ListKind, listed: list[Listed]) -> None:
+    def on_list(self, kind: ListKind, listed: list[ListedHost]) -> None:
         """Discovery has spoken; the sockets follow the list before anything more is sent."""
         if kind is not ListKind.FAILED:
             self.upstream.apply(kind is not ListKind.DELTA, listed)
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -5,24 +5,32 @@
 """
 
 from __future__ import annotations
-
-import asyncio
-import logging
-from collections.abc import Callable, Iterable
-from typing import Any, cast
-
-import httptools
-
-from bridgesaddle.api import MS, SECOND, HostId, HostState, Outcome
-
-from .attempt import Answer, Attempt, Header
-from .body import PIECE, Body, Room
+from .attempt import Answer
+from .attempt import Attempt
+from .attempt import Header
+from .body import Body
+from .body import PIECE
+from .body import Room
 from .events import event
-from .lines import Listed
 from .stats import Stats
-from .syscalls import pending_events, write_before
-from .timers import Timers, now_ns
+from .syscalls import pending_events
+from .syscalls import write_before
+from .timers import Timers
+from .timers import now_ns
 from .transient import LOCAL_ERRNOS
+from .update_parser import ListedHost
+from bridgesaddle.api import HostId
+from bridgesaddle.api import HostState
+from bridgesaddle.api import MS
+from bridgesaddle.api import Outcome
+from bridgesaddle.api import SECOND
+from collections.abc import Callable
+from collections.abc import Iterable
+from typing import Any
+from typing import cast
+import asyncio
+import httptools
+import logging
 
 log = logging.getLogger("gateway.upstream")
 
@@ -462,7 +470,7 @@
         self._connect_timeout = connect_timeout_ns or 250 * MS
         self._idle = int(idle_ns * IDLE_PART) if idle_ns else IDLE_DEFAULT
 
-    def apply(self, whole: bool, listed: Iterable[Listed]) -> None:
+    def apply(self, whole: bool, listed: Iterable[ListedHost]) -> None:
         """Take in the list before anything more is sent; connections to what is gone are dropped."""
         seen = set()
         for entry, address in listed:
