--- a/gateway/admin.py
+++ b/gateway/admin.py
@@ -10,7 +10,7 @@
 
 from bridgesaddle.api import MS, SECOND
 
-from .listener import Listener, listening
+from .listener import Listener, listen_with_retry
 from .timers import now_ns
 
 MAX_CALL = 8 * 1024
@@ -115,8 +115,8 @@
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> tuple[str, int]:
         """Listen there, alone; returns the address.  Raises OSError where that stays impossible."""
-        self._listener = await listening(loop, address, lambda: Caller(self), shared=False,
-                                         wanted=lambda: not self.closing)
+        self._listener = await listen_with_retry(loop, address, lambda: Caller(self), shared=False,
+                                                 wanted=lambda: not self.closing)
         return self._listener.address
 
     def call(self, method: str, path: str) -> Answered:
--- a/gateway/attempt.py
+++ b/gateway/attempt.py
@@ -16,7 +16,7 @@
 Header = tuple[bytes, bytes]
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """A whole answer of a host."""
 
     status: int
@@ -27,24 +27,24 @@
 class Receiver(Protocol):
     """Who takes a long answer, piece by piece."""
 
-    def begin(self, attempt: Attempt, answer: Answer, length: int | None) -> bool:
+    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
         """It begins; `length` is None where only its end tells.  False: nobody wants it any more."""
 
-    def more(self, attempt: Attempt, data: bytes) -> None:
+    def write_body(self, attempt: Attempt, data: bytes) -> None:
         """Some more of its body; `attempt.pause` holds the next back."""
 
 
 class Attempt:
     """One attempt at one host, or a probe.
 
-    `ended` is called once, with the answer if it was served whole.  A long answer goes to `receiver` first.
+    `on_end` is called once, with the answer if it was served whole.  A long answer goes to `receiver` first.
     """
 
-    __slots__ = ("begin_by", "begun", "body", "checked", "conn", "due", "ended", "held_before", "host", "load",
-                 "number", "over", "payload", "probe", "receiver", "started", "unwanted")
+    __slots__ = ("begin_by", "begun", "body", "checked", "conn", "done", "expires_at", "held_before", "host", "load",
+                 "number", "on_end", "payload", "probe", "receiver", "started", "unwanted")
 
-    def __init__(self, host: HostId, number: int, payload: tuple[bytes, bytes], started: int, due: int,
-                 ended: Callable[[Attempt, Outcome, Answer | None], None], probe: bool = False,
+    def __init__(self, host: HostId, number: int, payload: tuple[bytes, bytes], started: int, expires_at: int,
+                 on_end: Callable[[Attempt, Outcome, Response | None], None], probe: bool = False,
                  receiver: Receiver | None = None, body: Body | None = None, begin_by: int = FAR,
                  unwanted: Callable[[], bool] = lambda: False) -> None:
         self.host = host
@@ -59,16 +59,16 @@
         self.payload = payload   # the head without its last lines, and the body
         self.started = started
         self.checked = started   # when it was last asked whether it may go out
-        self.due = due
-        self.ended = ended
+        self.expires_at = expires_at
+        self.on_end = on_end
         self.conn: Connection | None = None
-        self.over = False
+        self.done = False
         self.load = b""   # the load report that came with the answer, as it was worded
 
     def message(self, now: int) -> bytes:
         """What goes on the wire; the host is told how long the gateway will wait from now."""
         head, body = self.payload
-        return b"%bX-Timeout-Ms: %d\r\n\r\n%b" % (head, max(1, (self.due - now) // MS), body)
+        return b"%bX-Timeout-Ms: %d\r\n\r\n%b" % (head, max(1, (self.expires_at - now) // MS), body)
 
     def pause(self, wanted: bool) -> None:
         """Read no more of the answer for now, or again."""
@@ -83,10 +83,10 @@
         """Whether the request's last byte is on the socket."""
         return self.conn is not None and self.conn.written()
 
-    def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
+    def end(self, outcome: Outcome, answer: Response | None = None) -> None:
         """Report the outcome, once."""
-        if not self.over:
-            self.over = True
+        if not self.done:
+            self.done = True
             self.conn = None
             self.payload = (b"", b"")   # timers refer to it until they ring: bodies must not pile up
-            self.ended(self, outcome, answer)
+            self.on_end(self, outcome, answer)
--- a/gateway/checks.py
+++ b/gateway/checks.py
@@ -23,15 +23,15 @@
 
 
 class Checked:
-    """A request that has passed the checks: the `Asked` of core.py."""
+    """A request that has passed the checks: the `ParsedRequest` of core.py."""
 
     __slots__ = ("body", "cls", "hint_ns", "id", "key", "name", "payload", "repeat", "tenant", "ttl_ns",
-                 "waiting_since", "write")
+                 "unread_since", "write")
 
     def __init__(self, cls: int, tenant: int, ttl_ns: int, payload: tuple[bytes, bytes],
                  headers: dict[bytes, bytes], body: Body | None) -> None:
         self.body = body   # a long one, which is still coming
-        self.waiting_since = 0
+        self.unread_since = 0
         self.cls = cls
         self.tenant = tenant
         self.ttl_ns = ttl_ns
--- a/gateway/core.py
+++ b/gateway/core.py
@@ -16,7 +16,7 @@
 from bridgesaddle import Balancer
 from bridgesaddle.api import MS, Actions, Decisions, HostId, ListKind, Outcome, Settings
 
-from .attempt import Answer, Attempt
+from .attempt import Attempt, Response
 from .body import Body
 from .discovery import Discovery
 from .events import event
@@ -47,12 +47,12 @@
 """Requests held at once; with bodies of 64 KiB at most this bounds their memory."""
 
 
-Maker = Callable[[Settings, int, Actions], Decisions]
+DecisionsFactory = Callable[[Settings, int, Actions], Decisions]
 PROBE_TIME = 1000 * MS
 """A probe that has no answer by then has timed out; the settings name no time for it."""
 
 
-class Loads:
+class LoadReportParser:
     """Load reports, by the names of the settings' columns or by the plain ones."""
 
     def __init__(self, columns: Sequence[str], plain: Sequence[str]) -> None:
@@ -72,9 +72,9 @@
 
 
 class Exchange(Protocol):
-    """The client's side of a request: one answer, by one of these calls or by `begin` and what follows."""
+    """The client's side of a request: one answer, by one of these calls or by `begin_response` and what follows."""
 
-    def served(self, answer: Answer) -> None:
+    def served(self, answer: Response) -> None:
         """Pass on a host's answer."""
 
     def failed(self) -> None:
@@ -83,29 +83,29 @@
     def refused(self, retry_after_ns: int) -> None:
         """Answer refused: trying again is harmless."""
 
-    def left(self) -> bool:
+    def client_half_closed(self) -> bool:
         """Whether the client has ended its sending, asked of the kernel."""
 
-    def begin(self, attempt: Attempt, answer: Answer, length: int | None) -> None:
+    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> None:
         """A host's long answer begins; what is committed is no longer taken back."""
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Some more of it."""
 
     def finish(self) -> None:
         """It has come whole."""
 
-    def broken(self) -> None:
+    def abort(self) -> None:
         """It will not come whole, and the client must be able to tell."""
 
 
-class Asked(Protocol):
+class ParsedRequest(Protocol):
     """What the client's side has read of a request."""
 
     body: Body | None
 
     id: bytes
-    waiting_since: int   # its bytes may have come this early; 0: they came when they were read
+    unread_since: int   # its bytes may have come this early; 0: they came when they were read
     cls: int
     tenant: int
     key: int
@@ -119,8 +119,8 @@
 class Request:
     """A request that is held; it stays in the table until its attempts have ended too."""
 
-    __slots__ = ("attempts", "body", "closing", "deadline", "exchange", "last_call", "most", "name", "out", "payload",
-                 "rid", "streamed", "ttl")
+    __slots__ = ("attempts", "body", "client_half_closed", "deadline", "exchange", "in_flight", "last_call", "most",
+                 "name", "payload", "rid", "streamed", "ttl")
 
     def __init__(self, rid: int, name: bytes, exchange: Exchange, payload: tuple[bytes, bytes], deadline: int,
                  most: int) -> None:
@@ -131,8 +131,8 @@
         self.payload = payload
         self.deadline = deadline
         self.attempts = 0
-        self.out: dict[int, Attempt] = {}
-        self.closing = False   # the client has ended its sending: it may have gone
+        self.in_flight: dict[int, Attempt] = {}
+        self.client_half_closed = False   # the client has ended its sending: it may have gone
         self.body: Body | None = None   # a long one
         self.streamed = False           # a long answer has begun
         self.ttl = 0
@@ -151,14 +151,14 @@
         self._core = core
         self._request = request
 
-    def begin(self, attempt: Attempt, answer: Answer, length: int | None) -> bool:
+    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
         """It begins."""
         return self._core.begin(self._request, attempt, answer, length)
 
-    def more(self, attempt: Attempt, data: bytes) -> None:
+    def write_body(self, attempt: Attempt, data: bytes) -> None:
         """Some more of its body."""
         if self._request.exchange is not None:
-            self._request.exchange.more(data)
+            self._request.exchange.write_body(data)
 
 
 class Core:
@@ -168,7 +168,7 @@
     """
 
     def __init__(self, settings: Settings, salt: int, timers: Timers, columns: Sequence[str] = (),
-                 make: Maker = Balancer) -> None:
+                 make: DecisionsFactory = Balancer) -> None:
         self._timers = timers
         self._events: deque[Event] = deque()
         self._lists: deque[Event] = deque()   # handled before anything else
@@ -182,13 +182,13 @@
         self.holdups: HoldUps | None = None
         self.upstream: Upstream
         self.discovery: Discovery
-        self.listed = False
+        self.has_hosts = False
         self._module = make(settings, salt, self)
 
     def _take(self, settings: Settings, columns: Sequence[str]) -> None:
         self._settings = settings
         self._max_open = min(MAX_OPEN, settings.limits.open_cap or MAX_OPEN)
-        self.loads = Loads(columns, settings.report_fields)
+        self.load_parser = LoadReportParser(columns, settings.report_fields)
 
     def attach(self, upstream: Upstream, discovery: Discovery) -> None:
         """The sockets that the actions act on."""
@@ -257,19 +257,19 @@
         """Discovery has spoken; the sockets follow the list before anything more is sent."""
         if kind is not ListKind.FAILED:
             self.upstream.apply(kind is not ListKind.DELTA, listed)
-            self.listed = self.listed or bool(listed)
+            self.has_hosts = self.has_hosts or bool(listed)
         self._lists.append((self._module.on_list, None, (kind, [item.entry for item in listed])))
         self._handle()
         self.on_lease()
 
-    def on_request(self, exchange: Exchange, asked: Asked) -> Request | None:
+    def on_request(self, exchange: Exchange, asked: ParsedRequest) -> Request | None:
         """Take in a client's request; None if there is no room and it has been refused unsent."""
         if len(self._requests) >= self._max_open:
             event(log, "refused", request=asked.id, why="too many are open")
             exchange.refused(0)
             return None
         now = now_ns()
-        accepted = now - asked.waiting_since - UNCOUNTED if asked.waiting_since else 0
+        accepted = now - asked.unread_since - UNCOUNTED if asked.unread_since else 0
         left = asked.ttl_ns - max(self._waited(now), accepted)
         if left < LEAST_LEFT:
             event(log, "refused", request=asked.id, why="its time ran out while the loop was held up")
@@ -282,12 +282,12 @@
         request.ttl = left
         request.body = asked.body
         if request.body is not None:
-            request.body.on_bound = lambda: self._bound(request)
+            request.body.on_committed = lambda: self._bound(request)
         self._call_last(request, now)
         self._event(self._tell_request, request, request, asked)
         return request
 
-    def _tell_request(self, now: int, request: Request, asked: Asked) -> None:
+    def _tell_request(self, now: int, request: Request, asked: ParsedRequest) -> None:
         """The module hears what is left at its own `now`: the process may have been stopped since the deadline was
         fixed.
         """
@@ -312,11 +312,11 @@
     def _bound(self, request: Request) -> None:
         """Part of a long body is held no longer: no second attempt, and no deadline while it is sent."""
         request.deadline = request.last_call = FAR
-        for attempt in request.out.values():
-            attempt.due = FAR
+        for attempt in request.in_flight.values():
+            attempt.expires_at = FAR
             self._event(self._module.on_body, request, request.rid, attempt.number)
 
-    def on_whole(self, request: Request) -> None:
+    def on_body_complete(self, request: Request) -> None:
         """The last byte of a long body has come: the client's time begins."""
         if request.exchange is None or request.streamed:
             return
@@ -325,27 +325,27 @@
         ttl = max(request.ttl - MARGIN, request.ttl // 2)
         request.deadline = now + ttl
         self._call_last(request, now)
-        for attempt in request.out.values():
-            attempt.due = request.deadline
-            self._timers.at(attempt.due, self._expire, attempt)
+        for attempt in request.in_flight.values():
+            attempt.expires_at = request.deadline
+            self._timers.at(attempt.expires_at, self._expire, attempt)
         self._event(self._tell_whole, request, request)
 
     def _tell_whole(self, now: int, request: Request) -> None:
         """As `_tell_request`."""
         self._module.on_whole(now, request.rid, max(1, min(request.deadline - now, request.ttl)))
 
-    def begin(self, request: Request, attempt: Attempt, answer: Answer, length: int | None) -> bool:
+    def begin(self, request: Request, attempt: Attempt, answer: Response, length: int | None) -> bool:
         """A long answer begins: it is the one, whatever else is out; nothing of it is cut any more."""
         if request.exchange is None or request.streamed:
             self.upstream.cancel(attempt)
             return False
         request.streamed = True
-        request.deadline = request.last_call = attempt.due = FAR
-        for other in [other for other in request.out.values() if other is not attempt]:
+        request.deadline = request.last_call = attempt.expires_at = FAR
+        for other in [other for other in request.in_flight.values() if other is not attempt]:
             self.upstream.cancel(other)
-        request.exchange.begin(attempt, answer, length)
+        request.exchange.begin_response(attempt, answer, length)
         self._event(self._module.on_first, request, request.rid, attempt.number)
-        return not attempt.over
+        return not attempt.done
 
     def members_unavailable(self) -> int:
         """Listed hosts that the module avoids now."""
@@ -364,12 +364,12 @@
         It may have gone or may wait for its answer, which looks the same from here.  So it gets the answer of
         what is out, and nothing new is sent for it.
         """
-        request.closing = True
-        if not request.out and not request.streamed:
+        request.client_half_closed = True
+        if not request.in_flight and not request.streamed:
             self._give_up(request)
         elif self._suspect():   # it may have left long ago
             self._unreached(request)
-        elif not all(attempt.connected() for attempt in request.out.values()):
+        elif not all(attempt.connected() for attempt in request.in_flight.values()):
             self._timers.after(LEAVING, self._unreached, request)
 
     def accepted(self) -> int:
@@ -384,29 +384,29 @@
         """Whether its client may have left long ago: after a hold-up its end may still lie unread."""
         if request.exchange is None:
             return True
-        if self._suspect() and request.exchange.left():
-            request.closing = True
+        if self._suspect() and request.exchange.client_half_closed():
+            request.client_half_closed = True
             return True
         return False
 
     def _unreached(self, request: Request) -> None:
         """Guards against connections that come up late for a client that has gone by then."""
-        for attempt in list(request.out.values()):
+        for attempt in list(request.in_flight.values()):
             if not attempt.connected():
                 self.upstream.cancel(attempt)
 
-    def held(self) -> list[Request]:
+    def open_requests(self) -> list[Request]:
         """Requests in the table: those owed an answer, and those with attempts still out."""
         return list(self._requests.values())
 
-    def longest(self, now: int) -> int:
+    def max_time_left(self, now: int) -> int:
         """The longest time that a request which is held has left."""
         return max((request.last_call - now for request in self._requests.values()
                     if request.exchange is not None and request.last_call < FAR), default=0)
 
     def fail_all(self) -> None:
         """The program must end now: what is still held is answered rather than lost."""
-        for request in self.held():
+        for request in self.open_requests():
             self._give_up(request)
 
     def _last_call(self, request: Request) -> None:
@@ -420,7 +420,7 @@
         exchange, request.exchange = request.exchange, None
         if exchange is not None:
             event(log, "failed", request=request.name, why="its time is up, its client ends or the program does")
-            exchange.broken() if request.streamed else exchange.failed()
+            exchange.abort() if request.streamed else exchange.failed()
             self._event(self._module.on_gone, None, request.rid)
         self._finish(request)
 
@@ -428,35 +428,35 @@
         """After the answer nothing more goes out: what is still out is cancelled."""
         if request.body is not None:
             request.body.drop()
-        for attempt in list(request.out.values()):
+        for attempt in list(request.in_flight.values()):
             self.upstream.cancel(attempt)
         self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        if request.exchange is None and not request.out:
+        if request.exchange is None and not request.in_flight:
             self._event(self._drop, None, request)   # after this event, which may still name it
 
     def _drop(self, _now: int, request: Request) -> None:
-        if not request.out:
+        if not request.in_flight:
             self._requests.pop(request.rid, None)
             request.payload = (b"", b"")   # timers refer to it until they ring: bodies must not pile up
 
-    def _ended(self, request: Request, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
+    def _ended(self, request: Request, attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
         """An attempt has ended.  The first that is served answers its client on its own."""
-        request.out.pop(attempt.number, None)
+        request.in_flight.pop(attempt.number, None)
         if request.exchange is not None:
             if request.streamed:
                 if attempt.begun:
                     exchange, request.exchange = request.exchange, None
-                    exchange.finish() if outcome is Outcome.OK else exchange.broken()
+                    exchange.finish() if outcome is Outcome.OK else exchange.abort()
             elif answer is not None:
                 exchange, request.exchange = request.exchange, None
                 exchange.served(answer)
-            elif request.closing and not request.out:
+            elif request.client_half_closed and not request.in_flight:
                 exchange, request.exchange = request.exchange, None
                 exchange.failed()
         settled = request.exchange is None
-        load = self.loads.read(attempt.load) if attempt.load else ()
+        load = self.load_parser.read(attempt.load) if attempt.load else ()
         spent = max(1, (attempt.begun or now_ns()) - attempt.started - (self._held_ns() - attempt.held_before))
         if outcome is not Outcome.OK:
             event(log, "attempt_ended", request=request.name, attempt=attempt.number, host=attempt.host,
@@ -487,11 +487,11 @@
                           begin_by=self._now + begin_ns if begin_ns else FAR,
                           unwanted=lambda: self._may_have_left(request))
         attempt.held_before = self._held_ns()
-        request.out[number] = attempt
+        request.in_flight[number] = attempt
         if number:
             event(log, "retry", request=request.name, attempt=number, host=host, timeout_ns=due - self._now)
-        if self._may_have_left(request) or request.closing or number >= request.most \
-                or (request.body is not None and request.body.bound):
+        if self._may_have_left(request) or request.client_half_closed or number >= request.most \
+                or (request.body is not None and request.body.committed):
             attempt.end(Outcome.MOOT)   # never after the answer, nor for a client that may have gone
             return
         if not self._may_send:
@@ -501,7 +501,7 @@
         self.upstream.start(attempt)
 
     def _expire(self, attempt: Attempt) -> None:
-        if not attempt.over and now_ns() >= attempt.due:   # it may have been put off meanwhile
+        if not attempt.done and now_ns() >= attempt.expires_at:   # it may have been put off meanwhile
             self.upstream.expire(attempt)
 
     def fail(self, rid: int) -> None:
@@ -525,7 +525,7 @@
     def cancel(self, rid: int, attempt: int) -> None:
         """Stop waiting for an attempt."""
         request = self._requests.get(rid)
-        out = request.out.get(attempt) if request is not None else None
+        out = request.in_flight.get(attempt) if request is not None else None
         if out is not None and not out.begun:
             self.upstream.cancel(out)
 
@@ -549,14 +549,14 @@
         if not self._settings.limits.probes:
             log.error("a probe that is not allowed")
             return
-        path = b"/stats" if self.loads.columns else b"/health/live"
+        path = b"/stats" if self.load_parser.columns else b"/health/live"
         attempt = Attempt(host, 0, (b"GET %b HTTP/1.1\r\nHost: host\r\n" % path, b""), self._now,
                           self._now + PROBE_TIME, self._probed, probe=True)
-        self._timers.at(attempt.due, self._expire, attempt)
+        self._timers.at(attempt.expires_at, self._expire, attempt)
         self.upstream.start(attempt)
 
-    def _probed(self, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
-        load = self.loads.read(answer.body) if outcome is Outcome.OK and answer is not None else ()
+    def _probed(self, attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
+        load = self.load_parser.read(answer.body) if outcome is Outcome.OK and answer is not None else ()
         self._event(self._module.on_probed, None, attempt.host, outcome, max(1, now_ns() - attempt.started),
                     load)
 
@@ -580,4 +580,4 @@
         log.info("module: %s", text)
 
 
-__all__ = ["Asked", "Core", "Exchange", "Maker", "Request"]
+__all__ = ["Core", "DecisionsFactory", "Exchange", "ParsedRequest", "Request"]
--- a/gateway/exchange.py
+++ b/gateway/exchange.py
@@ -7,7 +7,7 @@
 
 from bridgesaddle.api import SECOND
 
-from .attempt import Answer, Attempt, Header
+from .attempt import Attempt, Header, Response
 from .core import Request
 from .timers import now_ns
 from .upstream import HOP_BY_HOP, LOAD
@@ -68,7 +68,7 @@
         self.conn.server.forget(self.id)
         self.conn.flush()
 
-    def begin(self, attempt: Attempt, answer: Answer, length: int | None) -> None:
+    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> None:
         """A host's long answer begins: what is passed on can't be taken back."""
         self.source = attempt
         framing = b""
@@ -82,7 +82,7 @@
         self._head(200, _end_to_end(answer), framing)
         self.conn.flush()
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Some more of it."""
         if data:
             self.parts.append(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
@@ -95,7 +95,7 @@
         self._end()
         self._count("completed")
 
-    def broken(self) -> None:
+    def abort(self) -> None:
         """It will not come whole: the connection ends before the answer does."""
         self._end_nothing()
         self._count("failed")
@@ -105,7 +105,7 @@
         self.conn.server.forget(self.id)
         self.conn.cut()
 
-    def served(self, answer: Answer) -> None:
+    def served(self, answer: Response) -> None:
         """Pass on a host's answer, its body unchanged."""
         self.respond(200, _end_to_end(answer), answer.body)
         self._count("completed")
@@ -121,7 +121,7 @@
         self.respond(503, headers, b"refused\n")
         self._count("rejected")
 
-    def left(self) -> bool:
+    def client_half_closed(self) -> bool:
         """Whether the client has ended its sending, asked of the kernel."""
         return self.conn.has_left()
 
@@ -130,5 +130,5 @@
             self.conn.server.stats.ended(self.cls, how)
 
 
-def _end_to_end(answer: Answer) -> list[Header]:
+def _end_to_end(answer: Response) -> list[Header]:
     return [item for item in answer.headers if item[0].lower() not in HOP_BY_HOP and item[0].lower() != LOAD]
--- a/gateway/listener.py
+++ b/gateway/listener.py
@@ -49,7 +49,7 @@
         return host, port
 
     @property
-    def opening(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether connections have been accepted that no protocol has yet."""
         return bool(self._opening)
 
@@ -98,7 +98,7 @@
             event(log, "connection_failed", why=repr(error))
 
 
-async def listening(loop: asyncio.AbstractEventLoop, address: tuple[str, int],
+async def listen_with_retry(loop: asyncio.AbstractEventLoop, address: tuple[str, int],
                     protocol: Callable[[], asyncio.BaseProtocol], shared: bool,
                     wanted: Callable[[], bool]) -> Listener:
     """A listener, tried for again while that is `wanted`; raises OSError where it stays impossible."""
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -22,14 +22,14 @@
 from bridgesaddle.wire import WireError, parse_settings
 
 from .admin import Admin, Answered
-from .body import Room
-from .core import Core, Maker
+from .body import StreamBudget
+from .core import Core, DecisionsFactory
 from .discovery import Discovery
 from .handover import Handover, host_and_port
 from .holdups import HoldUps
 from .kernel import process_started_ns
 from .lines import Lines, Listed
-from .listener import Listener, listening
+from .listener import Listener, listen_with_retry
 from .peers import Peers
 from .server import Server
 from .starts import StartTimes
@@ -166,7 +166,7 @@
 class Gateway:
     """The parts, wired together."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, make: Maker = Balancer,
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, make: DecisionsFactory = Balancer,
                  handover: Handover | None = None, waits_ns: int = TOLD_ASKED, started_ns: int = 0) -> None:
         self._waits_ns = waits_ns   # for the first list, where lists are asked for
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -180,12 +180,12 @@
         self.stats = Stats()
         self.handover = handover or Handover(config.listen)
         clients, hosts = self._room()
-        self.room = Room(self._bytes())
+        self.stream_budget = StreamBudget(self._bytes())
         self.core = Core(settings, config.seed, self.timers, config.columns, make)
         self.holdups = self.core.holdups = HoldUps(loop, self.timers)
         self.upstream = Upstream(loop, self.timers, hosts,
                                   settings.limits.connect_timeout_ns, settings.limits.conn_idle_ns,
-                                  self.stats, self.room)
+                                  self.stats, self.stream_budget)
         self._starts = StartTimes()
         lines = Lines(config.zones, config.kinds, self._starts)
         self.discovery: Discovery
@@ -205,7 +205,7 @@
         self.discovery.together = settings.replicas
         self.discovery.unread_for = self.holdups.waited
         self.holdups.on_held.append(self.discovery.on_held)
-        self.server = Server(self.core, self.timers, settings, clients, self.stats, self.room)
+        self.server = Server(self.core, self.timers, settings, clients, self.stats, self.stream_budget)
         self.admin = Admin({("GET", "/_ready"): self._ready, ("GET", "/_vars"): self._vars,
                             ("POST", "/_lameduck/on"): lambda: self._drain(True),
                             ("POST", "/_lameduck/off"): lambda: self._drain(False)})
@@ -241,8 +241,8 @@
             log.warning("discovery has not told the list: the known one must do")
         if self._stop_at:   # told to end before it took clients
             return self._config.listen
-        self._listener = await listening(self._loop, self._config.listen, self.server.connection, shared=True,
-                                         wanted=lambda: not self._stop_at)
+        self._listener = await listen_with_retry(self._loop, self._config.listen, self.server.new_connection,
+                                                 shared=True, wanted=lambda: not self._stop_at)
         self.handover.serving()
         if self._config.settings.limits.peers and self._config.peer_listen is not None:
             self.core.peers = Peers(self._config.peers, self._config.peers_all, self.core.on_peer)
@@ -297,9 +297,9 @@
         if beside != self._beside:
             log.info("another process of this gateway %s", "runs" if beside else "has ended")
             self._beside = beside
-            self.server.max_open, self.upstream.max_open = self._room()
-            self.upstream.trim()
-            self.room.most = self._bytes()
+            self.server.max_connections, self.upstream.max_connections = self._room()
+            self.upstream.close_surplus_idle()
+            self.stream_budget.max_bytes = self._bytes()
             self._settings = self._limited(self._settings)
             self.core.on_settings(self._settings, self._columns)
         return beside
@@ -334,7 +334,7 @@
     def _vars(self) -> Answered:
         heard_at = self.discovery.heard_at
         return 200, self.stats.text({
-            "pending": self.server.pending, "members": self.upstream.listed,
+            "pending": self.server.pending, "members": self.upstream.host_count,
             "members_unavailable": self.core.members_unavailable(),
             "discovery_heard_ms_ago": (now_ns() - heard_at) // MS if heard_at else -1,
             "list_generation": self.discovery.generation,
@@ -379,12 +379,12 @@
         # SIGKILL's time runs from the signal, which may have come as early as a stop of this process began.
         self._stop_at = now - self.holdups.waited(now)
         # By what holds now: neither what is held nor SIGKILL waits for settings that come later.
-        longest = max([item.deadline_ns for item in self._settings.classes] + [self.core.longest(now)])
+        longest = max([item.deadline_ns for item in self._settings.classes] + [self.core.max_time_left(now)])
         self._end_at = self._stop_at + min(longest, LEAVE_MOST) + LEAVE_MORE
         self._told.set()
         self._drain(True)
-        self.server.succeeded = self.handover.succeeded()
-        if self.server.succeeded:
+        self.server.taken_over = self.handover.succeeded()
+        if self.server.taken_over:
             log.info("another process takes the clients")
             self._stop_listening(None)
         else:
@@ -400,9 +400,9 @@
         now = now_ns()
         if now > self._end_at:
             self.core.fail_all()
-            self.server.end()
-        opening = self._listener is not None and self._listener.opening
-        if not (self.server.open or opening) or now > self._end_at + LEAVE_LAST:
+            self.server.shut_down()
+        opening = self._listener is not None and self._listener.has_pending
+        if not (self.server.connection_count or opening) or now > self._end_at + LEAVE_LAST:
             self.handover.close()
             self.admin.close()
             self.discovery.close()
--- a/gateway/server.py
+++ b/gateway/server.py
@@ -14,7 +14,7 @@
 from bridgesaddle.api import MS, SECOND, Settings
 
 from .attempt import Header
-from .body import PIECE, Body, Room
+from .body import PIECE, Body, StreamBudget
 from .checks import BadRequest, Checks
 from .core import Core
 from .events import event
@@ -22,16 +22,16 @@
 from .kernel import BROKEN, LEFT, waiting
 from .stats import Stats
 from .timers import Timers, now_ns
-from .upstream import MAX_BODY, MAX_LONG, STALL
+from .upstream import MAX_BODY, MAX_LONG, STREAM_STALL_TIMEOUT_NS
 
 log = logging.getLogger("gateway.server")
 
-MAX_HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 """Longest head of a request, bytes."""
 MAX_HEADERS = 100
-PIPELINED = 8
+MAX_PIPELINED = 8
 """Requests of one connection that are worked on at once; past that it is read no further."""
-ARRIVE = 2400 * MS
+HEAD_TIMEOUT_NS = 2400 * MS
 """Longest time for a head to arrive, the first counted from connecting.
 
 A client may take 2 s for it.  Whoever sends nothing that could be answered is owed an error or a close within
@@ -44,12 +44,12 @@
 """Connections above the bound that are still told, by a refusal, that there is no room."""
 UNREAD = 30 * MS
 """So often it is asked whether a client has gone whose connection is not read; `LEAVING` of core.py comes on top."""
-IDLE = 90 * SECOND
-DRAIN_IDLE = 2 * SECOND
+IDLE_TIMEOUT_NS = 90 * SECOND
+DRAIN_IDLE_TIMEOUT_NS = 2 * SECOND
 """A drained connection is closed after so long between requests: sooner, the close would cross requests."""
-JUST_COME = 100 * MS
+NEW_CONNECTION_GRACE_NS = 100 * MS
 """A connection on which nothing has come for less makes no room for another."""
-LINGER = 1 * SECOND
+LINGER_TIMEOUT_NS = 1 * SECOND
 """How long what still arrives is thrown away after an error, so that the client can read it."""
 READY = b"/health/ready"
 
@@ -70,14 +70,14 @@
         self.leaving = False        # it has ended its sending, whether or not all of it is read
         self._paused = False
         self._asked_for = PIECE   # bytes, by the read that goes on
-        self.since = now_ns()    # when what is being waited for began
-        self.waiting_since = 0   # its first request may have come this early, before it was accepted
+        self.state_since = now_ns()    # when what is being waited for began
+        self.unread_since = 0   # its first request may have come this early, before it was accepted
         self._looked_at = 0      # when it was last asked what lies unread, while it is not read
         self._unread_since = 0   # what is read next may have come this early
         self._asked = False      # a whole request has come
         self.lingering = False
         self.surplus = False     # there was no room for it: its request is refused unsent
-        self._stuck_since = 0
+        self._write_blocked_since = 0
         self._unsent = 0         # of what it does not take
         self._current: Exchange | None = None   # of a long request that is still coming
         self._coming: Body | None = None
@@ -87,7 +87,7 @@
     def _start(self) -> None:
         self._length: int | None = None
         self._received = 0
-        self._body_since = 0     # when the body began, later by the time it was not read
+        self._body_started_at = 0     # when the body began, later by the time it was not read
         self._paused_at = 0
         self._current = self._coming = None
         self._expecting = False
@@ -101,12 +101,12 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)   # uvloop has its own kind
         self.transport.set_write_buffer_limits(high=PIECE // 2)
-        self.waiting_since = self.server.core.accepted()
-        self.server.joined(self)
+        self.unread_since = self.server.core.accepted()
+        self.server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The client has gone; what it was owed is owed no more."""
-        self.server.left(self)
+        self.server.remove_connection(self)
         self._parser = None   # it refers to this connection: a cycle, which would stay until it is collected
         exchanges = list(self._exchanges)
         self._exchanges.clear()
@@ -123,7 +123,7 @@
                 self.server.core.on_gone(exchange.request)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        piece = self._piece[:self.server.room.piece()] if self._coming is not None else self._piece
+        piece = self._piece[:self.server.stream_budget.read_bytes()] if self._coming is not None else self._piece
         self._asked_for = len(piece)
         return piece
 
@@ -134,7 +134,7 @@
 
     def came_since(self) -> int:
         """From when on the request that has just been read may have waited unread; 0: it has not."""
-        accepted, self.waiting_since = self.waiting_since, 0
+        accepted, self.unread_since = self.unread_since, 0
         return min(filter(None, (accepted, self._unread_since)), default=0)
 
     def data_received(self, data: memoryview) -> None:
@@ -149,14 +149,14 @@
             self._error = self._error or BadRequest(400, f"malformed: {error}")
         if self._in_head and self._error is None:
             self._size += len(data)   # guards against a head without end, which shows no header
-            if self._size > 2 * MAX_HEAD:
+            if self._size > 2 * MAX_HEAD_BYTES:
                 self._error = BadRequest(431, "a head too long")
         if self._error is not None and not self.discarding:
             self._reject(self._error)
         if self._coming is not None or len(self._body) > MAX_BODY:
             self._stream()
             self.steer()
-        elif len(self._exchanges) >= PIPELINED:
+        elif len(self._exchanges) >= MAX_PIPELINED:
             self.steer()
 
     def _stream(self) -> None:
@@ -182,14 +182,14 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        wanted = bool(len(self._exchanges) >= PIPELINED or self._stuck_since
+        wanted = bool(len(self._exchanges) >= MAX_PIPELINED or self._write_blocked_since
                       or (self._coming is not None and self._coming.full)) and not self.lingering
         if wanted and not self._paused:
             self._paused_at = self._looked_at = now_ns()
             transport.pause_reading()
             self.server.paused(self)
         elif self._paused and not wanted:
-            self._body_since += now_ns() - self._paused_at
+            self._body_started_at += now_ns() - self._paused_at
             transport.resume_reading()
         self._paused = wanted
 
@@ -254,7 +254,7 @@
         self._start()
         self._in_head = self._in_message = True
         if self._asked:   # else its time began when it connected
-            self.since = now_ns()
+            self.state_since = now_ns()
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -267,7 +267,7 @@
 
     def _count(self, size: int) -> None:
         self._size += size
-        if self._size > MAX_HEAD or len(self._headers) >= MAX_HEADERS:
+        if self._size > MAX_HEAD_BYTES or len(self._headers) >= MAX_HEADERS:
             self._error = self._error or BadRequest(431, "a head too long")
 
     def on_headers_complete(self) -> None:
@@ -288,7 +288,7 @@
             self._error = BadRequest(413, "a body too long")
         else:
             self._length = int(lengths[0]) if lengths else None
-            self._body_since = now_ns()
+            self._body_started_at = now_ns()
             if (lengths or coded) and any(name.lower() == b"expect" and value.lower() == b"100-continue"
                                           for name, value in self._headers):
                 self._expecting = True
@@ -298,7 +298,7 @@
         """Ask for the body that a client holds back, once the answers before it have left."""
         if self._expecting and not self._exchanges and self.transport is not None:
             self._expecting = False
-            self._body_since = now_ns()
+            self._body_started_at = now_ns()
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
@@ -343,7 +343,7 @@
             if not coming.over:
                 coming.finish()
                 if exchange.request is not None:
-                    self.server.core.on_whole(exchange.request)
+                    self.server.core.on_body_complete(exchange.request)
 
     # What follows.
 
@@ -367,14 +367,14 @@
             if not exchange.done:
                 break
             self._exchanges.popleft()
-            self.since = now_ns()
+            self.state_since = now_ns()
             if exchange.close and transport is not None and not transport.is_closing():
                 self._linger()
         if transport is None or transport.is_closing():
             return
         for exchange in self._exchanges:
             if exchange.source is not None:   # a long answer waits for its turn, and for its client
-                exchange.source.pause(bool(self._stuck_since) or exchange is not self._exchanges[0])
+                exchange.source.pause(bool(self._write_blocked_since) or exchange is not self._exchanges[0])
         if self._ended and not self._exchanges:
             transport.close()
             return
@@ -404,14 +404,14 @@
         What comes from here on is never sent on: its answer could not be given any more.
         """
         self.discarding = self.lingering = True
-        self.since = now_ns()
+        self.state_since = now_ns()
         self.server.lingers(self)
         if self.transport is not None and self.transport.can_write_eof():
             self.transport.write_eof()
 
     def pause_writing(self) -> None:
         """The client does not read: no more is read from it either."""
-        self._stuck_since = now_ns()
+        self._write_blocked_since = now_ns()
         self._unsent = 0
         for exchange in self._exchanges:
             if exchange.source is not None:
@@ -419,7 +419,7 @@
         self.steer()
 
     def resume_writing(self) -> None:
-        self._stuck_since = 0
+        self._write_blocked_since = 0
         self.flush()
 
     def last(self, exchange: Exchange) -> bool:
@@ -439,35 +439,35 @@
         """Guards against slow senders, slow readers and connections that are kept for nothing."""
         if self.transport is None:
             return
-        waited = now - self.since
-        unsent = self.transport.get_write_buffer_size() if self._stuck_since else 0
+        waited = now - self.state_since
+        unsent = self.transport.get_write_buffer_size() if self._write_blocked_since else 0
         if unsent != self._unsent:
             self._unsent = unsent
-            if self._stuck_since:
-                self._stuck_since = now   # it reads, however slowly
-        if self._stuck_since and now - self._stuck_since > STALL:
+            if self._write_blocked_since:
+                self._write_blocked_since = now   # it reads, however slowly
+        if self._write_blocked_since and now - self._write_blocked_since > STREAM_STALL_TIMEOUT_NS:
             self.transport.abort()
         elif self.lingering:
-            if waited > LINGER:
-                self.transport.abort() if self._stuck_since else self.transport.close()
+            if waited > LINGER_TIMEOUT_NS:
+                self.transport.abort() if self._write_blocked_since else self.transport.close()
         elif self._in_message and not self.discarding and self._too_slow(now):
             self._reject(BadRequest(408, "the request was too slow"))
         elif self.between_requests() and waited > self._patience() and not self.retire():
-            self.server.sweep_after(JUST_COME, self)   # whatever crosses it may be no request
+            self.server.sweep_after(NEW_CONNECTION_GRACE_NS, self)   # whatever crosses it may be no request
 
     def _too_slow(self, now: int) -> bool:
         """Judges the head by its time and the body by its progress, but for the time it was not read."""
-        if self._in_head or not self._body_since:
-            return now - self.since > ARRIVE
+        if self._in_head or not self._body_started_at:
+            return now - self.state_since > HEAD_TIMEOUT_NS
         if self._paused or self._expecting:
             return False
-        return self._received < BODY_RATE * (now - self._body_since - BODY_START) / SECOND
+        return self._received < BODY_RATE * (now - self._body_started_at - BODY_START) / SECOND
 
     def _patience(self) -> int:
         """How long the connection may be between requests."""
         if not self._asked:
-            return ARRIVE
-        return DRAIN_IDLE if self.server.draining else IDLE
+            return HEAD_TIMEOUT_NS
+        return DRAIN_IDLE_TIMEOUT_NS if self.server.draining else IDLE_TIMEOUT_NS
 
     def retire(self) -> bool:
         """End the connection between requests; False where one has come or just crosses, to be read and answered.
@@ -478,14 +478,15 @@
         if transport is None or transport.is_closing() or self.lingering or not self.between_requests() \
                 or waiting(transport):
             return False
-        event(log, "client_closed", why="idle too long, drained, or to make room", idle_ns=now_ns() - self.since)
+        event(log, "client_closed", why="idle too long, drained, or to make room", idle_ns=now_ns() - self.state_since)
         self._linger()
         return True
 
     def end(self) -> None:
         """The program is about to end: what is between requests ends, what crosses is refused unsent."""
         self.surplus = True
-        if self._asked or now_ns() - self.since > JUST_COME:   # one that has just come is about to ask
+        # one that has just come is about to ask
+        if self._asked or now_ns() - self.state_since > NEW_CONNECTION_GRACE_NS:
             self.retire()
 
     def hurry(self) -> None:
@@ -497,43 +498,43 @@
 class Server:
     """All connections of clients."""
 
-    def __init__(self, core: Core, timers: Timers, settings: Settings, max_open: int, stats: Stats,
-                 room: Room) -> None:
+    def __init__(self, core: Core, timers: Timers, settings: Settings, max_connections: int, stats: Stats,
+                 stream_budget: StreamBudget) -> None:
         self.core = core
         self._timers = timers
         self._paused: dict[ClientConnection, None] = {}   # those that are not read now
         self._looking = False
         self._lingering: dict[ClientConnection, None] = {}
         self._ending = False
-        self.room = room
+        self.stream_budget = stream_budget
         self.stats = stats
         self.on_settings(settings)
-        self.max_open = max_open
+        self.max_connections = max_connections
         self._connections: dict[ClientConnection, None] = {}
         self._ids: set[bytes] = set()   # of the requests that are held
         self.draining = False    # clients are sent away
-        self.succeeded = False   # to another process at the same address, which still takes them
+        self.taken_over = False   # to another process at the same address, which still takes them
 
     def on_settings(self, settings: Settings) -> None:
         """New settings: whoever comes now is judged by them."""
         self.stats.name(item.name for item in settings.classes)
         self._checks = Checks(settings)
 
-    def connection(self) -> ClientConnection:
+    def new_connection(self) -> ClientConnection:
         """The protocol of a new connection."""
         return ClientConnection(self)
 
-    def joined(self, conn: ClientConnection) -> None:
+    def add_connection(self, conn: ClientConnection) -> None:
         """Count a connection in; when there are too many, one between requests makes room."""
         self._connections[conn] = None
         conn.surplus = self._ending
-        if len(self._connections) - len(self._lingering) > self.max_open:
+        if len(self._connections) - len(self._lingering) > self.max_connections:
             now = now_ns()
             for other in self._connections:   # oldest first; one that has just come is about to ask
-                if other is not conn and now - other.since > JUST_COME and other.retire():
+                if other is not conn and now - other.state_since > NEW_CONNECTION_GRACE_NS and other.retire():
                     return
             conn.surplus = True
-            if len(self._connections) > self.max_open + SPARE:
+            if len(self._connections) > self.max_connections + SPARE:
                 conn.hurry()
 
     def paused(self, conn: ClientConnection) -> None:
@@ -551,7 +552,7 @@
         if self._looking:
             self._timers.after(UNREAD, self._look_unread, None)
 
-    def left(self, conn: ClientConnection) -> None:
+    def remove_connection(self, conn: ClientConnection) -> None:
         """Count a connection out."""
         self._connections.pop(conn, None)
         self._lingering.pop(conn, None)
@@ -559,13 +560,13 @@
     def lingers(self, conn: ClientConnection) -> None:
         """A connection waits for its client to close; not many may, as each keeps a descriptor."""
         self._lingering[conn] = None
-        self.sweep_after(LINGER + MS, conn)   # a drain has no time for the next one
-        if len(self._lingering) > SPARE and len(self._connections) > self.max_open:
+        self.sweep_after(LINGER_TIMEOUT_NS + MS, conn)   # a drain has no time for the next one
+        if len(self._lingering) > SPARE and len(self._connections) > self.max_connections:
             oldest = next(iter(self._lingering))
             del self._lingering[oldest]
             oldest.hurry()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """The program is about to end: nothing more is taken; called again until nothing is open."""
         self._ending = True
         for conn in list(self._connections):
@@ -574,13 +575,13 @@
     @property
     def ready(self) -> bool:
         """Whether a request could be served."""
-        return self.core.listed and not self.draining
+        return self.core.has_hosts and not self.draining
 
     def take(self, exchange: Exchange, method: bytes, target: bytes, headers: list[Header],
              body: bytes, coming: Body | None = None) -> None:
         """A request has come, whole or with its body still coming."""
         if target.split(b"?", 1)[0] == READY and method == b"GET":
-            ready = self.ready or self.succeeded
+            ready = self.ready or self.taken_over
             exchange.respond(200 if ready else 503, [], b"ready\n" if ready else b"not ready\n")
             return
         try:
@@ -599,13 +600,13 @@
             event(log, "failed", request=asked.id, why="read after its client had ended its sending")
             exchange.failed()   # read after its client had ended its sending: nothing is sent for it
             return
-        if exchange.conn.surplus or (coming is not None and self.room.full):
+        if exchange.conn.surplus or (coming is not None and self.stream_budget.full):
             exchange.close = True
             event(log, "refused", request=asked.id, why="no room for its connection or its body")
             exchange.refused(0)   # nothing was sent for it
             return
         exchange.id = asked.id
-        asked.waiting_since = exchange.conn.came_since()
+        asked.unread_since = exchange.conn.came_since()
         self._ids.add(asked.id)
         exchange.request = self.core.on_request(exchange, asked)
 
@@ -617,7 +618,7 @@
         """Look after all connections."""
         for conn in list(self._connections):
             conn.sweep(now)
-        self.room.streams = sum(conn.streams for conn in self._connections if not conn.between_requests())
+        self.stream_budget.streams = sum(conn.streams for conn in self._connections if not conn.between_requests())
 
     def sweep_after(self, delay_ns: int, conn: ClientConnection) -> None:
         """Look after one connection sooner than all are."""
@@ -629,11 +630,11 @@
         return len(self._ids)
 
     @property
-    def reading(self) -> int:
+    def receiving(self) -> int:
         """Connections on which a part of a request has come."""
         return sum(1 for conn in self._connections if not conn.between_requests())
 
     @property
-    def open(self) -> int:
+    def connection_count(self) -> int:
         """Connections that are open."""
         return len(self._connections)
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -15,8 +15,8 @@
 
 from bridgesaddle.api import MS, SECOND, HostId, HostState, Outcome
 
-from .attempt import Answer, Attempt, Header
-from .body import PIECE, Body, Room
+from .attempt import Attempt, Header, Response
+from .body import PIECE, Body, StreamBudget
 from .events import event
 from .kernel import waiting, write_within
 from .lines import Listed
@@ -30,16 +30,16 @@
 """Longest body of a message that is collected whole, bytes; past that it is streamed."""
 MAX_LONG = 32 * 1024 * 1024
 """Longest body of any message, bytes."""
-UNTOLD = 100 * MS
+UNKNOWN_LENGTH_BUFFER_NS = 100 * MS
 """An answer whose length is not told is collected for so long: a long one's first bytes are waited for."""
-STALL = 10 * SECOND
+STREAM_STALL_TIMEOUT_NS = 10 * SECOND
 """Longest time for a streamed message without any progress, while the other side could go on."""
-MAX_HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 """Longest head of an answer, bytes."""
 IDLE_PART = 0.6
 """Part of the host's idle time-out for which a connection is kept: well before the host closes it."""
 IDLE_DEFAULT = 10 * SECOND
-REST = 5 * MS
+REUSE_DELAY_NS = 5 * MS
 """For so long after its answer a connection is not used again.
 
 A broken host may answer twice, the second time some milliseconds late: that would be taken for the next answer.
@@ -53,7 +53,7 @@
                         b"proxy-connection"))
 """Headers that concern one connection, or that the gateway words itself."""
 
-CHECKED_FOR = 5 * MS
+SEND_CHECK_VALID_NS = 5 * MS
 """An attempt is asked once more whether it may go out where that was asked longer ago: the process may have been
 stopped between the decision and the write."""
 LOAD = b"x-server-load"
@@ -92,7 +92,7 @@
         self._fd = -1
         self._body_out: Body | None = None   # a long body that goes out on this connection
         self._paused = False
-        self.clogged = False
+        self.write_blocked = False
         self.moved = now_ns()    # when a stream last made progress
         self._reset()
 
@@ -128,12 +128,12 @@
         """Whether an attempt that has waited for this connection is still wanted, and here."""
         attempt.checked = now_ns()
         self._pool.before_send()
-        if attempt.over:
+        if attempt.done:
             return False
         if not self.host.ready or self.incarnation != self.host.incarnation:
             self._pool.stats.sends_stopped += 1
             return False
-        return self._pool.may_send() and now_ns() < min(attempt.due, attempt.begin_by) and not attempt.unwanted()
+        return self._pool.may_send() and now_ns() < min(attempt.expires_at, attempt.begin_by) and not attempt.unwanted()
 
     def book(self, attempt: Attempt) -> None:
         """An attempt that goes out here once the connection has rested."""
@@ -158,13 +158,13 @@
         Its time is looked at always: a decision may be of this moment and its request's deadline long past.
         """
         now = now_ns()
-        return now < attempt.due and (now - attempt.checked <= CHECKED_FOR or self.may_carry(attempt))
+        return now < attempt.expires_at and (now - attempt.checked <= SEND_CHECK_VALID_NS or self.may_carry(attempt))
 
     def _write(self, attempt: Attempt) -> None:
         transport = self.transport
         assert transport is not None
         self._written = False
-        self.clogged = False
+        self.write_blocked = False
         self._body_out = attempt.body
         while self._may_still(attempt):
             now = self.moved = now_ns()   # the last look but one, by which the time left is worded
@@ -172,7 +172,7 @@
             # What is decided and worded is written at once or not at all: guards against a stop in between.  So ahead
             # of the transport, whose own way to the socket is much longer.
             sent = -1 if transport.is_closing() \
-                else write_within(self._fd, message, min(attempt.checked, now) + CHECKED_FOR)
+                else write_within(self._fd, message, min(attempt.checked, now) + SEND_CHECK_VALID_NS)
             if sent >= 0:
                 if sent < len(message):
                     transport.write(message[sent:])
@@ -189,9 +189,9 @@
         """Send what has come of a long body; the rest follows as it comes."""
         start = body.attach(self)
         if start:
-            self.more(start)
-        if body.whole:
-            self.last()
+            self.write_body(start)
+        if body.complete:
+            self.finish_body()
         body.steer()
 
     def _flushed(self) -> None:
@@ -202,15 +202,15 @@
         if not transport.is_closing() and not transport.get_write_buffer_size():
             self._whole()
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Some more of a long body."""
         body, transport = self._body_out, self.transport
         if body is not None and transport is not None and not transport.is_closing():
             transport.write(b"%x\r\n%b\r\n" % (len(data), data) if body.length is None else data)
-            if not self.clogged:
+            if not self.write_blocked:
                 self.moved = now_ns()
 
-    def last(self) -> None:
+    def finish_body(self) -> None:
         """A long body has come whole."""
         body, transport = self._body_out, self.transport
         if body is not None and transport is not None and not transport.is_closing():
@@ -220,15 +220,15 @@
 
     def pause_writing(self) -> None:
         """The host does not take what it is given: the client waits too."""
-        self.clogged = True
+        self.write_blocked = True
         if self._body_out is not None:
             self._body_out.steer()
 
     def resume_writing(self) -> None:
         """The buffer is empty: what was given is on the socket, up to the last byte if that has come."""
-        self.clogged = False
+        self.write_blocked = False
         self.moved = now_ns()
-        if self._body_out is None or self._body_out.whole:
+        if self._body_out is None or self._body_out.complete:
             self._whole()
         if self._body_out is not None:
             self._body_out.steer()
@@ -242,7 +242,7 @@
                 self._pool.stats.upstream_requests += 1
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self._piece[:self._pool.room.piece()] if self._stream else self._piece
+        return self._piece[:self._pool.stream_budget.read_bytes()] if self._stream else self._piece
 
     def buffer_updated(self, nbytes: int) -> None:
         self.moved = now_ns()
@@ -262,7 +262,7 @@
             self._broken = str(error) or "malformed"
         if not self._head_done:
             self._raw += len(data)   # guards against a head without end, which shows no header
-            if self._raw > 2 * MAX_HEAD:
+            if self._raw > 2 * MAX_HEAD_BYTES:
                 self._broken = "a head too long"
         self._judge()
 
@@ -291,7 +291,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._size += len(name) + len(value)
-        if self._size > MAX_HEAD:
+        if self._size > MAX_HEAD_BYTES:
             self._broken = "a head too long"
         elif not self._head_done:   # trailers are no headers
             self._headers.append((name, value.strip(b" \t")))   # the parser leaves white space behind it
@@ -334,15 +334,15 @@
             return
         if self._body and not long and not self._complete and self._length is None and not self._waits:
             self._waits = True
-            left = max(0, attempt.due - now_ns())   # held until then it would be cut, however long it is
-            self._pool.timers.after(min(UNTOLD, left // 4), self._overdue, attempt)
+            left = max(0, attempt.expires_at - now_ns())   # held until then it would be cut, however long it is
+            self._pool.timers.after(min(UNKNOWN_LENGTH_BUFFER_NS, left // 4), self._overdue, attempt)
         if not self._complete:
             if self._broken:
                 log.warning("spoilt answer from %s: %s", self.host.address, self._broken)
                 self.give_up(Outcome.RESET)
             return
         status = self._parser.get_status_code()
-        answer = Answer(status, self._headers, bytes(self._body))
+        answer = Response(status, self._headers, bytes(self._body))
         outcome = _outcome(answer)
         attempt.load = next((value for name, value in answer.headers if name.lower() == LOAD), b"")
         self.attempt = None
@@ -365,13 +365,13 @@
             self._stream = True
             attempt.load = next((value for name, value in self._headers if name.lower() == LOAD), b"")
             attempt.begun = now_ns()
-            if not attempt.receiver.begin(attempt, Answer(status, self._headers, b""), self._length):
+            if not attempt.receiver.begin_response(attempt, Response(status, self._headers, b""), self._length):
                 return False
         data = bytes(self._body)
         self._body.clear()
-        if attempt.receiver is not None and not attempt.over:
-            attempt.receiver.more(attempt, data)
-        return not attempt.over
+        if attempt.receiver is not None and not attempt.done:
+            attempt.receiver.write_body(attempt, data)
+        return not attempt.done
 
     def _overdue(self, attempt: Attempt) -> None:
         if self.attempt is attempt and not self._stream:
@@ -398,8 +398,8 @@
 
     def stalled(self, now: int) -> bool:
         """Whether a stream has made no progress for too long though the other side could go on."""
-        waits = (self._stream and not self._paused) or (self._body_out is not None and self.clogged)
-        return waits and now - self.moved > STALL
+        waits = (self._stream and not self._paused) or (self._body_out is not None and self.write_blocked)
+        return waits and now - self.moved > STREAM_STALL_TIMEOUT_NS
 
     def _detach(self) -> None:
         body, self._body_out = self._body_out, None
@@ -429,7 +429,7 @@
     close = _close
 
 
-def _outcome(answer: Answer) -> Outcome:
+def _outcome(answer: Response) -> Outcome:
     """PROTOCOL's table; what it does not foresee may have run."""
     if answer.status == 200:
         return Outcome.OK
@@ -443,19 +443,19 @@
 class Upstream:
     """All connections to hosts, within one bound; it sends what it is given and nothing by itself."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, max_open: int,
-                 connect_timeout_ns: int, idle_ns: int, stats: Stats, room: Room) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, max_connections: int,
+                 connect_timeout_ns: int, idle_ns: int, stats: Stats, stream_budget: StreamBudget) -> None:
         self._loop = loop
-        self.room = room
+        self.stream_budget = stream_budget
         self.stats = stats
         self.timers = timers
-        self.max_open = max_open
+        self.max_connections = max_connections
         self.before_send: Callable[[], None] = lambda: None   # what discovery has written is read
         self.may_send: Callable[[], bool] = lambda: True      # whether the list may be followed
         self.on_settings(connect_timeout_ns, idle_ns)
         self._hosts: dict[HostId, Host] = {}
-        self._open: set[Connection] = set()
-        self.opened = 0
+        self._connections: set[Connection] = set()
+        self.connections_opened = 0
 
     def on_settings(self, connect_timeout_ns: int, idle_ns: int) -> None:
         """How long a connection may take to come up, and after how long hosts close it; 0: not told."""
@@ -489,13 +489,13 @@
             self._drop_idle(host)
 
     @property
-    def listed(self) -> int:
+    def host_count(self) -> int:
         """Hosts in the list."""
         return len(self._hosts)
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on the newest idle connection that has rested, or on the first to do so or to come up."""
-        if attempt.begin_by < attempt.due:
+        if attempt.begin_by < attempt.expires_at:
             self.timers.at(attempt.begin_by, self._too_late, attempt)
         self._place(attempt)
 
@@ -506,7 +506,7 @@
             attempt.end(Outcome.CONNECT_FAILED)
             return
         now = now_ns()
-        rested = now - REST
+        rested = now - REUSE_DELAY_NS
         stale = now - self._idle   # its host may close it in this moment, and the sweep comes late
         for at in range(len(host.idle) - 1, -1, -1):
             if host.idle[at].idle_at <= rested:
@@ -518,15 +518,15 @@
         if host.idle:   # it rests for less time than a new connection would take of its host's
             conn = host.idle.pop(0)
             conn.book(attempt)
-            self.timers.at(conn.idle_at + REST, self.rested, conn)
+            self.timers.at(conn.idle_at + REUSE_DELAY_NS, self.rested, conn)
             return
-        if len(self._open) >= self.max_open and not self._evict():
-            log.warning("no room for a connection: %d open", len(self._open))
+        if len(self._connections) >= self.max_connections and not self._evict():
+            log.warning("no room for a connection: %d open", len(self._connections))
             attempt.end(Outcome.CONNECT_FAILED)
             return
         conn = attempt.conn = Connection(self, host, attempt)
-        self._open.add(conn)
-        self.opened += 1
+        self._connections.add(conn)
+        self.connections_opened += 1
         conn.task = self._loop.create_task(self._connect(conn))
         self.timers.after(self._connect_timeout, self._connect_overdue, conn)
 
@@ -579,7 +579,7 @@
 
     def _too_late(self, attempt: Attempt) -> None:
         """A copy of which the last byte is not written by now would be begun past the window for repeats."""
-        if not attempt.over and not attempt.written():
+        if not attempt.done and not attempt.written():
             self._stop(attempt, Outcome.MOOT)   # nothing against a host that may have had some milliseconds only
 
     def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -601,13 +601,13 @@
 
     def lost(self, conn: Connection) -> None:
         """Forget a connection that is closed."""
-        self._open.discard(conn)
+        self._connections.discard(conn)
         if conn in conn.host.idle:
             conn.host.idle.remove(conn)
 
-    def trim(self) -> None:
+    def close_surplus_idle(self) -> None:
         """Close idle connections above the bound, which may have fallen."""
-        while len(self._open) > self.max_open and self._evict():
+        while len(self._connections) > self.max_connections and self._evict():
             pass
 
     def _evict(self) -> bool:
@@ -616,7 +616,7 @@
         if not idle:
             return False
         conn = min(idle, key=lambda host: host.idle[0].idle_at).idle.pop(0)
-        self._open.discard(conn)
+        self._connections.discard(conn)
         conn.close()
         return True
 
@@ -633,7 +633,7 @@
 
     def sweep(self, now: int) -> None:
         """Close what has stood idle, clearly before the host does, and streams that stand still."""
-        for conn in [conn for conn in self._open if conn.stalled(now)]:
+        for conn in [conn for conn in self._connections if conn.stalled(now)]:
             log.warning("a stream to or from %s stands still", conn.host.address)
             conn.give_up(Outcome.RESET if conn.written() else Outcome.CONNECT_FAILED)
         for host in self._hosts.values():
@@ -643,5 +643,5 @@
     def close(self) -> None:
         """End everything; the program is over."""
         self._hosts.clear()
-        for conn in list(self._open):
+        for conn in list(self._connections):
             conn.close()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -16,10 +16,10 @@
 
 from bridgesaddle import Balancer
 from bridgesaddle.lease import Told
-from gateway.core import Maker
+from gateway.core import DecisionsFactory
 from gateway.program import Config, Gateway
 from gateway.timers import now_ns
-from gateway.upstream import REST
+from gateway.upstream import REUSE_DELAY_NS
 
 LIMIT_S = 20.0
 """No test waits longer than this for an event that does not come."""
@@ -209,7 +209,7 @@
     where: tuple[str, int]
 
     async def begin(self, *hosts: FakeHost, rows: list[dict[str, Any]] | None = None,
-                    make: Maker = Balancer, told: dict[str, Any] | None = None, **settings: Any) -> Stage:
+                    make: DecisionsFactory = Balancer, told: dict[str, Any] | None = None, **settings: Any) -> Stage:
         """Start a gateway that knows these hosts."""
         self.discovery = await FakeDiscovery().start()
         for host in hosts:
@@ -250,5 +250,5 @@
 
 async def rested() -> None:
     """Until a connection to a host that has just given its answer may be used again."""
-    over = now_ns() + REST
+    over = now_ns() + REUSE_DELAY_NS
     await until(lambda: now_ns() > over)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 
 from bridgesaddle.api import MS, SECOND, Effect, HostEntry, HostState, Limits, ListKind, Outcome, RequestClass
 from gateway import core as core_module
-from gateway.attempt import Answer, Attempt
+from gateway.attempt import Attempt, Response
 from gateway.body import Body
 from gateway.core import Core
 from gateway.discovery import Discovery
@@ -76,7 +76,7 @@
 
     # The client.
 
-    def left(self) -> bool:
+    def client_half_closed(self) -> bool:
         return False
 
     def ask(self, ttl_ns: int, cls: int = 0) -> None:
@@ -85,24 +85,24 @@
         self.core.on_request(self, self)
 
     id = b"r"
-    waiting_since = 0
+    unread_since = 0
     tenant = key = hint_ns = 0
     repeat = write = False
     payload = (b"", b"")
     body: Body | None = None
 
-    def begin(self, attempt: Attempt, answer: Answer, length: int | None) -> None:
+    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> None:
         raise AssertionError("no long answer comes here")
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         raise AssertionError("no long answer comes here")
 
     def finish(self) -> None:
         raise AssertionError("no long answer comes here")
 
-    broken = finish
+    abort = finish
 
-    def served(self, answer: Answer) -> None:
+    def served(self, answer: Response) -> None:
         self.answers.append(("served", self.now))
 
     def failed(self) -> None:
@@ -119,7 +119,7 @@
     hand = Hand(monkeypatch, READ)
     hand.ask(patience * MS)
     hand.run(hand.now + patience * 3 // 4 * MS)
-    hand.out[0].end(Outcome.OK, Answer(200, [], b""))
+    hand.out[0].end(Outcome.OK, Response(200, [], b""))
     assert [how for how, _ in hand.answers] == ["served"]
 
 
@@ -162,7 +162,7 @@
         return hand.now
     monkeypatch.setattr(core_module, "now_ns", now_ns)
     started: list[tuple[int, int]] = []
-    monkeypatch.setattr(hand, "start", lambda attempt: started.append((hand.now, attempt.due)))
+    monkeypatch.setattr(hand, "start", lambda attempt: started.append((hand.now, attempt.expires_at)))
     hand.ask(400 * MS)
     assert all(at < due <= begun + 400 * MS for at, due in started)
     monkeypatch.setattr(core_module, "now_ns", lambda: hand.now)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -204,7 +204,7 @@
             _, writer = await stage.discovery.calls.get()
             stage.discovery.head(writer)
             stage.discovery.line(writer, 42, [host.row()])
-            await until(lambda: stage.gateway.core.listed)
+            await until(lambda: stage.gateway.core.has_hosts)
             assert (await client.ask(request()))[0] == 200
             seen = await host.seen.get()
             stage.discovery.line(writer, 43, [other.row()], reset=True)
@@ -336,7 +336,7 @@
             assert now_ns() - since < 490 * MS   # a call in vain, the rest and the next turn: 6 s in all
             stage.discovery.head(writer)
             stage.discovery.line(writer, 42, [staying.row()], reset=True)
-            await until(lambda: stage.gateway.upstream.listed == 1)
+            await until(lambda: stage.gateway.upstream.host_count == 1)
             while not leaving.seen.empty():
                 leaving.seen.get_nowait()
             for late in range(30):
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -9,9 +9,9 @@
 
 from bridgesaddle.api import SECOND, Outcome
 from gateway import upstream
-from gateway.body import KEPT, Body, Room
+from gateway.body import MAX_REPLAY_BYTES, Body, StreamBudget
 from gateway.program import SWEEP
-from gateway.server import ARRIVE
+from gateway.server import HEAD_TIMEOUT_NS
 from gateway.timers import now_ns
 from tests.sockets import OK, Client, FakeHost, Stage, play, request, rested, until
 from tests.test_operations import HEALTH, OPERATOR, figures
@@ -171,7 +171,7 @@
 def test_a_long_answer_that_comes_late_is_not_cut_before_its_length_is_known(
         monkeypatch: pytest.MonkeyPatch) -> None:
     """It was held to the end of the client's time, when the request was given up."""
-    monkeypatch.setattr(upstream, "UNTOLD", 10 * SECOND)
+    monkeypatch.setattr(upstream, "UNKNOWN_LENGTH_BUFFER_NS", 10 * SECOND)
 
     async def scene() -> None:
         async with Stage() as stage:
@@ -225,9 +225,9 @@
             seen.reply(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long) + long)
             server = stage.gateway.server
             conn = next(iter(server._connections))
-            await until(lambda: bool(conn._stuck_since))
+            await until(lambda: bool(conn._write_blocked_since))
             assert conn.transport is not None
-            assert conn.transport.get_write_buffer_size() <= 3 * KEPT   # the rest waits at the host
+            assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest waits at the host
             assert (await (await stage.client()).ask(HEALTH))[0] == 200
             await head(client)
             assert await client.reader.readexactly(len(long)) == long
@@ -264,7 +264,7 @@
             seen = await host.seen.get()
             client.writer.close()
             await seen.closed()
-            await until(lambda: not stage.gateway.core.held())
+            await until(lambda: not stage.gateway.core.open_requests())
     play(scene)
 
 
@@ -294,9 +294,9 @@
             steady.send(LONG[:200_000])
             server = stage.gateway.server
             await until(lambda: len(server._connections) == 2 and all(
-                conn._body_since for conn in server._connections)
+                conn._body_started_at for conn in server._connections)
                 and max(conn._received for conn in server._connections) == 200_000)
-            server.sweep(now_ns() + ARRIVE + SECOND)   # 3.4 s for what 6 s are given for
+            server.sweep(now_ns() + HEAD_TIMEOUT_NS + SECOND)   # 3.4 s for what 6 s are given for
             assert (await stalled.answer())[0] == 408
             assert not steady.reader.at_eof()
     play(scene)
@@ -307,41 +307,41 @@
 
     def __init__(self) -> None:
         self.got = b""
-        self.clogged = False
+        self.write_blocked = False
         self.ended = False
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         self.got += data
 
-    def last(self) -> None:
+    def finish_body(self) -> None:
         self.ended = True
 
 
 def test_a_body_can_be_sent_again_until_more_has_come_than_is_kept() -> None:
     bound = []
-    body, first, second = Body(None, b"a" * (KEPT - 10), lambda: None), Sinking(), Sinking()
-    body.on_bound = lambda: bound.append(True)
+    body, first, second = Body(None, b"a" * (MAX_REPLAY_BYTES - 10), lambda: None), Sinking(), Sinking()
+    body.on_committed = lambda: bound.append(True)
     first.got += body.attach(first)
     body.feed(b"b" * 10)
     body.detach(first)
     assert body.full   # nothing more is read before a host takes it
     second.got += body.attach(second)
-    assert second.got == first.got == b"a" * (KEPT - 10) + b"b" * 10
+    assert second.got == first.got == b"a" * (MAX_REPLAY_BYTES - 10) + b"b" * 10
     assert not bound
     body.feed(b"c")
-    assert bound and not body.kept
-    second.clogged = True
+    assert bound and not body.replay_buffer
+    second.write_blocked = True
     assert body.full
     body.finish()
     assert (second.got[-1:], second.ended) == (b"c", True)
 
 
 def test_many_streams_share_the_room() -> None:
-    room = Room(48 << 20)
-    alone = room.piece()
-    room.streams = 600
-    assert 8 * 1024 <= room.piece() < alone == 64 * 1024
-    assert room.full and 4 * room.piece() * room.streams <= room.most
+    stream_budget = StreamBudget(48 << 20)
+    alone = stream_budget.read_bytes()
+    stream_budget.streams = 600
+    assert 8 * 1024 <= stream_budget.read_bytes() < alone == 64 * 1024
+    assert stream_budget.full and 4 * stream_budget.read_bytes() * stream_budget.streams <= stream_budget.max_bytes
 
 
 def test_without_room_a_long_body_is_refused_unsent() -> None:
@@ -349,14 +349,14 @@
         async with Stage() as stage:
             host = FakeHost()
             await stage.begin(host)
-            stage.gateway.room.most = 1000
+            stage.gateway.stream_budget.max_bytes = 1000
             client = await stage.client()
-            status, headers, _ = await client.ask(request("once", body=LONG[:2 * KEPT]))
+            status, headers, _ = await client.ask(request("once", body=LONG[:2 * MAX_REPLAY_BYTES]))
             assert (status, headers["connection"]) == (503, "close")
-            assert (await (await stage.client()).ask(request("once", rid="r2", body=LONG[:KEPT])))[0] == 200
+            assert (await (await stage.client()).ask(request("once", rid="r2", body=LONG[:MAX_REPLAY_BYTES])))[0] == 200
             assert (await host.seen.get()).headers["x-request-id"] == "r2"
     play(scene)
 
 
 def test_slow_heads_have_their_time() -> None:
-    assert 2 * SECOND < ARRIVE <= 3 * SECOND - SWEEP
+    assert 2 * SECOND < HEAD_TIMEOUT_NS <= 3 * SECOND - SWEEP
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,7 +13,7 @@
 from gateway import program
 from gateway.admin import CALLERS
 from gateway.handover import Handover
-from gateway.server import DRAIN_IDLE
+from gateway.server import DRAIN_IDLE_TIMEOUT_NS
 from gateway.timers import now_ns
 from tests.sockets import FakeHost, Stage, play, request, until
 from tests.test_server import Fails, Refuses
@@ -148,7 +148,7 @@
             assert (await call(stage, READY))[0] == 503
             status, headers, _ = await new.ask(HEALTH)
             assert (status, headers["connection"]) == (503, "close")
-            stage.gateway.server.sweep(now_ns() + DRAIN_IDLE + MS)
+            stage.gateway.server.sweep(now_ns() + DRAIN_IDLE_TIMEOUT_NS + MS)
             assert await idle.reader.read() == b""
             seen.reply()
             status, headers, body = await busy.answer()
@@ -208,8 +208,8 @@
             server, clients = stage.gateway.server, [await stage.client() for _ in range(60)]
             asking = [asyncio.ensure_future(client.ask(request(rid=f"r{number}")))
                       for number, client in enumerate(clients)]
-            await until(lambda: server.reading + sum(ask.done() for ask in asking) == 60)
-            await until(lambda: host.seen.qsize() == stage.gateway.upstream.opened)
+            await until(lambda: server.receiving + sum(ask.done() for ask in asking) == 60)
+            await until(lambda: host.seen.qsize() == stage.gateway.upstream.connections_opened)
             assert server.pending - host.seen.qsize() == (24 if two else 60 - host.seen.qsize())
             assert {(await ask)[0] for ask in asking if ask.done()} == ({503} if two else set())
             for ask in asking:
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -15,7 +15,7 @@
 from bridgesaddle.api import MS, SECOND, HostState, ListKind, Outcome
 from gateway.attempt import Attempt
 from gateway.handover import Handover
-from gateway.server import ARRIVE, DRAIN_IDLE, IDLE, LINGER
+from gateway.server import DRAIN_IDLE_TIMEOUT_NS, HEAD_TIMEOUT_NS, IDLE_TIMEOUT_NS, LINGER_TIMEOUT_NS
 from gateway.timers import now_ns
 from tests.sockets import OK, SETTINGS, FakeDiscovery, FakeHost, Stage, play, request, rested, until
 from tests.test_process import COMMAND, ROOT, connect, launch, write_config
@@ -213,7 +213,7 @@
                     await until(lambda: stage.gateway.server.pending == lines)
                     left = now_ns()
                     leave(client.writer, how)
-                    await until(lambda: not any(held.out for held in stage.gateway.core.held()))
+                    await until(lambda: not any(held.in_flight for held in stage.gateway.core.open_requests()))
                     took.append(now_ns() - left)
                     await until(lambda: stage.gateway.server.pending == 0)
                 assert min(took) < 100 * MS
@@ -242,11 +242,11 @@
             server = stage.gateway.server
             with await crossing(stage, "r") as sock:
                 if close == "room":
-                    server.max_open = 1
-                    server.joined(server.connection())
+                    server.max_connections = 1
+                    server.add_connection(server.new_connection())
                 else:
                     server.draining = close == "drain"
-                    server.sweep(now_ns() + (DRAIN_IDLE if close == "drain" else IDLE) + MS)
+                    server.sweep(now_ns() + (DRAIN_IDLE_TIMEOUT_NS if close == "drain" else IDLE_TIMEOUT_NS) + MS)
                 assert (await asyncio.get_running_loop().sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200")
     play(scene)
 
@@ -254,11 +254,11 @@
 def test_a_connection_that_has_just_come_makes_no_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene() -> None:
         async with Stage() as stage:
-            monkeypatch.setattr("gateway.server.JUST_COME", 60 * SECOND)   # however slow this machine is
+            monkeypatch.setattr("gateway.server.NEW_CONNECTION_GRACE_NS", 60 * SECOND)   # however slow this machine is
             await stage.begin(FakeHost())
-            stage.gateway.server.max_open = 1
+            stage.gateway.server.max_connections = 1
             first = await stage.client()
-            await until(lambda: stage.gateway.server.open == 1)
+            await until(lambda: stage.gateway.server.connection_count == 1)
             assert (await (await stage.client()).ask(request(rid="more")))[0] == 503
             assert (await first.ask(request()))[0] == 200
     play(scene)
@@ -272,15 +272,15 @@
             client = await stage.client()
             assert (await client.ask(request()))[0] == 200
             await host.seen.get()
-            stage.gateway.server.sweep(now_ns() + IDLE + MS)
+            stage.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + MS)
             assert await client.reader.read() == b""   # the end, no reset
             client.send(request(rid="late"))
-            assert stage.gateway.server.open == 1      # what comes is read, or the close would be a reset
+            assert stage.gateway.server.connection_count == 1      # what comes is read, or the close would be a reset
             other = await stage.client()
             assert (await other.ask(request(rid="other")))[0] == 200
             assert (await host.seen.get()).headers["x-request-id"] == "other"
-            stage.gateway.server.sweep(now_ns() + LINGER + MS)
-            await until(lambda: stage.gateway.server.open == 1)
+            stage.gateway.server.sweep(now_ns() + LINGER_TIMEOUT_NS + MS)
+            await until(lambda: stage.gateway.server.connection_count == 1)
             assert host.seen.empty()
     play(scene)
 
@@ -294,13 +294,13 @@
             server = stage.gateway.server
             with socket.create_connection(stage.where) as sock:
                 sock.setblocking(False)
-                await until(lambda: server.open == 1)
+                await until(lambda: server.connection_count == 1)
                 server.draining = True
-                server.sweep(now_ns() + ARRIVE + MS)
+                server.sweep(now_ns() + HEAD_TIMEOUT_NS + MS)
                 assert await asyncio.get_running_loop().sock_recv(sock, 100) == b""   # it has been told
                 since = now_ns()
-                await until(lambda: server.open == 0)   # 4 s after a drain nothing may be held
-                assert now_ns() - since < LINGER + 500 * MS
+                await until(lambda: server.connection_count == 0)   # 4 s after a drain nothing may be held
+                assert now_ns() - since < LINGER_TIMEOUT_NS + 500 * MS
     play(scene)
 
 
@@ -309,14 +309,14 @@
         async with Stage() as stage:
             await stage.begin(FakeHost())
             with socket.create_connection(stage.where) as sock:
-                await until(lambda: stage.gateway.server.open == 1)
+                await until(lambda: stage.gateway.server.connection_count == 1)
                 (conn,) = stage.gateway.server._connections
-                await until(lambda: now_ns() - conn.since > ARRIVE)
+                await until(lambda: now_ns() - conn.state_since > HEAD_TIMEOUT_NS)
                 sock.send(b"\r\n")   # no request yet, and not read as its time is found to be up
                 stage.gateway.server.sweep(now_ns())
                 assert not conn.discarding
                 await until(lambda: conn.discarding)
-                assert now_ns() - conn.since < 3 * SECOND
+                assert now_ns() - conn.state_since < 3 * SECOND
     play(scene)
 
 
@@ -325,7 +325,7 @@
         async with Stage() as stage:
             await stage.begin(FakeHost())
             server = stage.gateway.server
-            server.max_open = 4
+            server.max_connections = 4
             socks = []
             for _ in range(80):   # they ask once, and neither read the end nor close
                 sock = socket.create_connection(stage.where)
@@ -333,8 +333,8 @@
                 socks.append(sock)
                 await asyncio.get_running_loop().sock_sendall(sock, b"GET /health/ready HTTP/1.1\r\n\r\n")
                 assert (await asyncio.get_running_loop().sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200")
-                server.sweep(now_ns() + IDLE + MS)
-            await until(lambda: server.open <= server.max_open + 2 * 16)
+                server.sweep(now_ns() + IDLE_TIMEOUT_NS + MS)
+            await until(lambda: server.connection_count <= server.max_connections + 2 * 16)
             for sock in socks:
                 sock.close()
     play(scene)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -13,7 +13,7 @@
 
 from bridgesaddle.api import MS, SECOND, Actions, HostId, Outcome, Settings
 from gateway.kernel import waiting
-from gateway.server import IDLE, ClientConnection
+from gateway.server import IDLE_TIMEOUT_NS, ClientConnection
 from gateway.timers import now_ns
 from gateway.upstream import Connection
 from tests.sockets import OK, SETTINGS, FakeHost, Stage, play, request, rested, until
@@ -122,7 +122,7 @@
             _, writer = await stage.discovery.calls.get()
             stage.discovery.head(writer)
             stage.discovery.line(writer, 42, [host.row()])
-            await until(lambda: stage.gateway.core.listed)
+            await until(lambda: stage.gateway.core.has_hosts)
             assert (await client.ask(ask))[0] == 200
     play(scene)
 
@@ -234,7 +234,7 @@
             client.send(request())
             seen = await host.seen.get()
             client.writer.write_eof()
-            await until(lambda: all(item.closing for item in stage.gateway.core.held()))
+            await until(lambda: all(item.client_half_closed for item in stage.gateway.core.open_requests()))
             seen.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
             assert (await client.answer())[0] == 502
             assert host.seen.empty()
@@ -253,7 +253,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.writer.transport.abort()
             await seen.closed()
-            assert not stage.gateway.core.held()
+            assert not stage.gateway.core.open_requests()
     play(scene)
 
 
@@ -288,7 +288,7 @@
             assert (got, headers.get("retry-after")) == (status, advice)
             assert now_ns() - begun < 1000 * MS + STALL
             assert (await client.ask(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # nothing between
-            assert not stage.gateway.core.held()
+            assert not stage.gateway.core.open_requests()
     play(scene)
 
 
@@ -303,7 +303,7 @@
             second.reply()
             assert (await client.answer())[0] == 200
             await first.closed()
-            assert not stage.gateway.core.held()
+            assert not stage.gateway.core.open_requests()
     play(scene)
 
 
@@ -333,10 +333,10 @@
             slow, idle = await stage.client(), await stage.client()
             assert (await idle.ask(request()))[0] == 200
             slow.send(b"GET /read/x HTTP/1.1\r\nX-Request-ID")
-            await until(lambda: stage.gateway.server.open == 2 and stage.gateway.server.reading == 1)
+            await until(lambda: stage.gateway.server.connection_count == 2 and stage.gateway.server.receiving == 1)
             stage.gateway.server.sweep(now_ns() + 2500 * MS)
             assert (await slow.answer())[0] == 408
-            stage.gateway.server.sweep(now_ns() + IDLE + SECOND)
+            stage.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
             assert await idle.reader.read() == b""
     play(scene)
 
@@ -349,11 +349,11 @@
         async with Stage() as stage:
             await stage.begin(FakeHost())
             peer = await stage.client()
-            await until(lambda: stage.gateway.server.open == 1)
+            await until(lambda: stage.gateway.server.connection_count == 1)
             connected = now_ns()
             peer.send(begun)
             if len(begun) > 2:
-                await until(lambda: stage.gateway.server.reading == 1)
+                await until(lambda: stage.gateway.server.receiving == 1)
             (conn,) = stage.gateway.server._connections
             await until(lambda: peer.writer.transport.get_write_buffer_size() == 0
                         and conn.transport is not None and not waiting(conn.transport))   # all has come and is read
@@ -373,7 +373,7 @@
         async with Stage() as stage:
             host = FakeHost(reply=None)
             await stage.begin(host, make=Sends)
-            stage.gateway.server.max_open = 2
+            stage.gateway.server.max_connections = 2
             busy = [await stage.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(request(rid=f"b{number}"))
@@ -494,7 +494,7 @@
             client = await stage.client()
             assert (await client.ask(request()))[0] == 200
             client.writer.close()
-            await until(lambda: not stage.gateway.server.open and not stage.gateway.upstream._open)
+            await until(lambda: not stage.gateway.server.connection_count and not stage.gateway.upstream._connections)
             stage.gateway.timers._heap.clear()   # they name it until they ring
             for _ in range(3):
                 await asyncio.sleep(0)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -20,13 +20,13 @@
 import pytest
 
 from bridgesaddle.api import MS, SECOND
-from gateway.server import PIPELINED
+from gateway.server import MAX_PIPELINED
 from gateway.timers import now_ns
-from gateway.upstream import CHECKED_FOR
+from gateway.upstream import SEND_CHECK_VALID_NS
 from tests.sockets import FakeHost, Stage, play, request
 
 STOP_S = 0.2
-SLOW_S = (CHECKED_FOR + MS) / SECOND
+SLOW_S = (SEND_CHECK_VALID_NS + MS) / SECOND
 """On a slow machine each step up to the stop takes so long: what was asked before it has to be asked anew."""
 SLACK_S = 0.15
 PATIENCE_S = 2.0
@@ -288,7 +288,7 @@
         async with Stage() as stage:
             await stage.begin(host)
             client = await stage.client()
-            for number in range(PIPELINED):
+            for number in range(MAX_PIPELINED):
                 client.send(request(rid=f"r{number}"))
             seen = await host.seen.get()
             await asyncio.sleep(STOP_S)   # all are read, and the connection is read no further
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,12 +10,12 @@
 import pytest
 
 from bridgesaddle.api import MS, SECOND, HostEntry, HostState, Outcome
-from gateway.attempt import Answer, Attempt
-from gateway.body import Room
+from gateway.attempt import Attempt, Response
+from gateway.body import StreamBudget
 from gateway.lines import Listed
 from gateway.stats import Stats
 from gateway.timers import Timers, now_ns
-from gateway.upstream import MAX_HEAD, Upstream
+from gateway.upstream import MAX_HEAD_BYTES, Upstream
 from tests.sockets import OK, FakeHost, Stage, play, request, rested
 
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.timers = Timers(loop)
-        self.upstream = Upstream(loop, self.timers, 20, 250 * MS, 15 * SECOND, Stats(), Room(1 << 20))
+        self.upstream = Upstream(loop, self.timers, 20, 250 * MS, 15 * SECOND, Stats(), StreamBudget(1 << 20))
 
     def tell(self, address: str, state: HostState = HostState.READY, started_ns: int = 0) -> None:
         host, _, port = address.rpartition(":")
@@ -36,17 +36,17 @@
                                            (host, int(port)))])
 
     def start(self, within: int = 9 * SECOND,
-              body: bytes = b"") -> tuple[Attempt, asyncio.Future[tuple[Outcome, Answer | None]]]:
-        result: asyncio.Future[tuple[Outcome, Answer | None]] = asyncio.get_running_loop().create_future()
+              body: bytes = b"") -> tuple[Attempt, asyncio.Future[tuple[Outcome, Response | None]]]:
+        result: asyncio.Future[tuple[Outcome, Response | None]] = asyncio.get_running_loop().create_future()
         now = now_ns()
         attempt = Attempt("h0", 0, (HEAD + b"Content-Length: %d\r\n" % len(body), body), now, now + within,
                           lambda _, outcome, answer: result.set_result((outcome, answer)))
-        self.timers.at(attempt.due, self.expire, attempt)
+        self.timers.at(attempt.expires_at, self.expire, attempt)
         self.upstream.start(attempt)
         return attempt, result
 
     def expire(self, attempt: Attempt) -> None:
-        if not attempt.over:
+        if not attempt.done:
             self.upstream.expire(attempt)
 
 
@@ -130,8 +130,8 @@
     (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", False, Outcome.RESET),
     (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + b"x" * 0x20000, False,
      Outcome.RESET),
-    (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 2 * MAX_HEAD + b"\r\n\r\n", False, Outcome.RESET),
-    (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 9 * MAX_HEAD, False, Outcome.RESET),
+    (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 2 * MAX_HEAD_BYTES + b"\r\n\r\n", False, Outcome.RESET),
+    (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 9 * MAX_HEAD_BYTES, False, Outcome.RESET),
     (b"HTTP/1.1 101 Up\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", False, Outcome.RESET),
     (b"noise\r\n\r\n", False, Outcome.RESET),
 ])
