--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,22 +1,24 @@
 """What operators see: the second address, the figures."""
 
 from __future__ import annotations
-
-import asyncio
-import socket
-import tempfile
-from pathlib import Path
-
-import pytest
-
 from bridgesaddle.api import MS
 from gateway import program
 from gateway.admin import MAX_OPERATOR_CONNECTIONS
 from gateway.handover import Handover
-from gateway.server import DRAIN_IDLE
+from gateway.server import DRAIN_IDLE_TIMEOUT_NS
 from gateway.timers import now_ns
-from tests.sockets import FakeHost, Stage, play, request, until
-from tests.test_server import Fails, Refuses
+from pathlib import Path
+from tests.sockets import FakeHost
+from tests.sockets import Stage
+from tests.sockets import play
+from tests.sockets import request
+from tests.sockets import until
+from tests.test_server import Fails
+from tests.test_server import Refuses
+import asyncio
+import pytest
+import socket
+import tempfile
 
 OPERATOR = {"operator": "127.0.0.1:0"}
 
@@ -149,7 +151,7 @@
             assert (await call(stage, READY))[0] == 503
             status, headers, _ = await new.ask(HEALTH)
             assert (status, headers["connection"]) == (503, "close")
-            stage.gateway.server.sweep(now_ns() + DRAIN_IDLE + MS)
+            stage.gateway.server.sweep(now_ns() + DRAIN_IDLE_TIMEOUT_NS + MS)
             assert await idle.reader.read() == b""
             seen.reply()
             status, headers, body = await busy.answer()
@@ -209,8 +211,8 @@
             server, clients = stage.gateway.server, [await stage.client() for _ in range(60)]
             asking = [asyncio.ensure_future(client.ask(request(rid=f"r{number}")))
                       for number, client in enumerate(clients)]
-            await until(lambda: server.reading + sum(ask.done() for ask in asking) == 60)
-            await until(lambda: host.seen.qsize() == stage.gateway.upstream.opened)
+            await until(lambda: server.receiving + sum(ask.done() for ask in asking) == 60)
+            await until(lambda: host.seen.qsize() == stage.gateway.upstream.connections_opened)
             assert server.pending - host.seen.qsize() == (24 if two else 60 - host.seen.qsize())
             assert {(await ask)[0] for ask in asking if ask.done()} == ({503} if two else set())
             for ask in asking:
