--- a/bridgesaddle/api.py
+++ b/bridgesaddle/api.py
@@ -147,7 +147,7 @@
 
     max_attempts: int = 3
     cancel: bool = True
-    second_copies: bool = True
+    allows_concurrent_attempts: bool = True
     probes: bool = False
     peers: bool = False
     retry_after: bool = False
@@ -155,16 +155,16 @@
     connect_timeout_ns: int = 250 * MS
     conn_idle_ns: int = 0        # an idle connection is closed after this; 0: not told
     streams_per_conn: int = 1
-    open_cap: int = 0            # open requests of a gateway, turned away beyond it before they come here
-    clients_cap: int = 0         # open requests that clients have connections for; 0: not told
+    max_open_requests: int = 0            # open requests of a gateway, turned away beyond it before they come here
+    max_client_requests: int = 0         # open requests that clients have connections for; 0: not told
     cpu_us_per_s: float = 0.0    # 0: not told
     cpu_us_per_request: float = 0.0
 
     def __post_init__(self) -> None:
         _positive("limits", max_attempts=self.max_attempts, streams_per_conn=self.streams_per_conn)
         _not_negative("limits", max_retry_after_ns=self.max_retry_after_ns, conn_idle_ns=self.conn_idle_ns,
-                      connect_timeout_ns=self.connect_timeout_ns, open_cap=self.open_cap,
-                      clients_cap=self.clients_cap, cpu_us_per_s=self.cpu_us_per_s,
+                      connect_timeout_ns=self.connect_timeout_ns, max_open_requests=self.max_open_requests,
+                      max_client_requests=self.max_client_requests, cpu_us_per_s=self.cpu_us_per_s,
                       cpu_us_per_request=self.cpu_us_per_request)
 
 
@@ -231,7 +231,7 @@
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
     goal: Goal = field(default_factory=Goal)
-    me: int = 0
+    replica_index: int = 0
     replicas: int = 1
     tick_ns: int = MS
     ask_discovery: bool = False
@@ -248,7 +248,7 @@
     def __post_init__(self) -> None:
         if self.weights not in ("off", "nominal", "rough", "live"):
             raise ValueError(f"settings.weights must be off, nominal, rough or live, not {self.weights!r}")
-        _not_negative("settings", me=self.me, over_share_worth=self.over_share_worth)
+        _not_negative("settings", replica_index=self.replica_index, over_share_worth=self.over_share_worth)
         _positive("settings", zones=self.zones, replicas=self.replicas, tick_ns=self.tick_ns)
         if not 0 <= self.zone < self.zones:
             raise ValueError(f"settings.zone {self.zone} is not one of {self.zones} zones")
@@ -259,10 +259,10 @@
 class Actions(Protocol):
     """What a balancer may ask of its gateway.  Calls take effect in the order made."""
 
-    def send(self, rid: int, host: HostId, timeout_ns: int, begin_ns: int = 0) -> None:
+    def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
         """Start an attempt; attempts of a request count from 0.  A time-out of 0: until the deadline.
 
-        Its last byte has to be written within `begin_ns`, or it never runs; 0: within its time-out.
+        Its last byte has to be written within `write_within_ns`, or it never runs; 0: within its time-out.
         """
 
     def fail(self, rid: int) -> None:
@@ -289,7 +289,7 @@
     def close(self, host: HostId) -> None:
         """Close the idle connections to a server."""
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_peer_message(self, peer: int | None, content: bytes) -> None:
         """Send a short message to one peer, or to all with None."""
 
     def log(self, text: str) -> None:
@@ -309,23 +309,23 @@
         Raises ValueError for a class or tenant the settings do not name and for an id that is still held.
         """
 
-    def on_body(self, now_ns: int, rid: int, attempt: int) -> None:
+    def on_body_streaming(self, now_ns: int, rid: int, attempt: int) -> None:
         """A long body is sent on that still comes and is held no longer: this attempt is the last one.
 
-        Neither its time-out nor the deadline runs until `on_whole`.
+        Neither its time-out nor the deadline runs until `on_body_complete`.
         """
 
-    def on_whole(self, now_ns: int, rid: int, ttl_ns: int) -> None:
+    def on_body_complete(self, now_ns: int, rid: int, ttl_ns: int) -> None:
         """The last byte of a long body has come: the request's time begins now, with so much of it."""
 
-    def on_first(self, now_ns: int, rid: int, attempt: int) -> None:
+    def on_response_started(self, now_ns: int, rid: int, attempt: int) -> None:
         """A streamed answer has begun: the request is bound to this attempt and has no deadline now."""
 
     def on_outcome(self, now_ns: int, rid: int, attempt: int, host: HostId, outcome: Outcome,
-                   spent_ns: int, settled: bool, load: Sequence[float]) -> None:
-        """An attempt has ended.  `settled`: the request is over, its answer given."""
+                   spent_ns: int, request_ended: bool, load: Sequence[float]) -> None:
+        """An attempt has ended.  `request_ended`: the request is over, its answer given."""
 
-    def on_gone(self, now_ns: int, rid: int) -> None:
+    def on_client_disconnected(self, now_ns: int, rid: int) -> None:
         """The client has left; nothing is owed any more."""
 
     def on_timer(self, now_ns: int, token: int) -> None:
@@ -334,11 +334,11 @@
     def on_lease(self, now_ns: int, valid: bool) -> None:
         """Whether hosts may be chosen by the list from now on: it may be too old to be followed."""
 
-    def on_probed(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
+    def on_probe_result(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
                   load: Sequence[float]) -> None:
         """A probe has ended."""
 
-    def on_peer(self, now_ns: int, peer: int, content: bytes) -> None:
+    def on_peer_message(self, now_ns: int, peer: int, content: bytes) -> None:
         """Another gateway has sent a message."""
 
     def on_settings(self, now_ns: int, settings: Settings) -> None:
--- a/bridgesaddle/decide.py
+++ b/bridgesaddle/decide.py
@@ -651,7 +651,7 @@
             return False
         if request.attempts >= request.most or now >= request.deadline or self._spent(request, now):
             return False
-        if request.live and not self._set.limits.second_copies:
+        if request.live and not self._set.limits.allows_concurrent_attempts:
             return False
         anchor, cls = request.anchor, request.cls
         if anchor is not None and cls.effect is Effect.KEYED:
@@ -736,7 +736,7 @@
 
     # ---- 6. What becomes of attempts --------------------------------------------------------------
 
-    def on_first(self, now_ns: int, rid: int, attempt: int) -> None:
+    def on_response_started(self, now_ns: int, rid: int, attempt: int) -> None:
         """A streamed answer has begun: its host has done its part, however long the client takes to read."""
         now = self._tick(now_ns)
         request = self._requests.get(rid)
@@ -746,7 +746,7 @@
             self._count(self._out[rid, attempt], False)
             self._release(now)
 
-    def on_body(self, now_ns: int, rid: int, attempt: int) -> None:
+    def on_body_streaming(self, now_ns: int, rid: int, attempt: int) -> None:
         """A long body is no longer held: bound to this attempt, whose host begins once it has come whole."""
         now = self._tick(now_ns)
         request = self._requests.get(rid)
@@ -756,7 +756,7 @@
             self._count(self._out[rid, attempt], False)
             self._release(now)
 
-    def on_whole(self, now_ns: int, rid: int, ttl_ns: int) -> None:
+    def on_body_complete(self, now_ns: int, rid: int, ttl_ns: int) -> None:
         """A long body has come whole: from here on it is a request like any other, but for its attempts."""
         now = self._tick(now_ns)
         request = self._requests.get(rid)
@@ -780,7 +780,7 @@
             attempt.pool.inflight += 1 if work else -1
 
     def on_outcome(self, now_ns: int, rid: int, attempt: int, host: HostId, outcome: Outcome,
-                   spent_ns: int, settled: bool, load: Sequence[float]) -> None:
+                   spent_ns: int, request_ended: bool, load: Sequence[float]) -> None:
         """An attempt has ended."""
         now = self._tick(now_ns)
         ended = self._out.pop((rid, attempt), None)
@@ -789,10 +789,10 @@
         ended.server.inflight -= 1
         self._count(ended, False)
         ended.request.live.discard(attempt)
-        self._ended(ended, outcome, spent_ns, settled, load, now)
+        self._ended(ended, outcome, spent_ns, request_ended, load, now)
         self._release(now)
 
-    def _ended(self, attempt: _Attempt, outcome: Outcome, spent_ns: int, settled: bool,
+    def _ended(self, attempt: _Attempt, outcome: Outcome, spent_ns: int, request_ended: bool,
                load: Sequence[float], now: int) -> None:
         request, server = attempt.request, attempt.server
         patience = min(request.t1, request.expected(1.0)) if request.cls.mean else request.t1
@@ -807,7 +807,7 @@
             self._work += LATENCY_W * (usual - self._work) if self._work else usual
         elif outcome not in NO_EVIDENCE and not attempt.overdue:
             self._failed_one(request, server, outcome, spent_ns, now)
-        if settled:
+        if request_ended:
             at = request.first_at or now   # a long answer is timed by its first bytes
             self._drop(request, outcome is not Outcome.OK or at > request.born + request.aim)
         if request.done:
@@ -840,7 +840,7 @@
         self._note(server, delay, request, now, failed=True, full=full,
                    queued=full or outcome is Outcome.TIMEOUT)
 
-    def on_gone(self, now_ns: int, rid: int) -> None:
+    def on_client_disconnected(self, now_ns: int, rid: int) -> None:
         """The client has left."""
         self._tick(now_ns)
         request = self._requests.get(rid)
@@ -867,12 +867,12 @@
         elif not request.live and not request.held and now >= request.due:
             self._retry(request, now)
 
-    def on_probed(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
+    def on_probe_result(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
                   load: Sequence[float]) -> None:
         """A probe has ended."""
         self._tick(now_ns)
 
-    def on_peer(self, now_ns: int, peer: int, content: bytes) -> None:
+    def on_peer_message(self, now_ns: int, peer: int, content: bytes) -> None:
         """Another gateway has sent a message; none is needed."""
         self._tick(now_ns)
 
@@ -935,7 +935,7 @@
             heapify(self._held)
         self._wake(request, request.due - now)
         # Guards against clients that have no connection left for a new request, as old ones wait on all.
-        most = HELD_MOST * (self._set.limits.clients_cap or inf)
+        most = HELD_MOST * (self._set.limits.max_client_requests or inf)
         while self._held_n > most:
             self._end(max(entry for entry in self._held if entry[2].held)[2], now)
 
@@ -980,7 +980,7 @@
         if size >= len(servers):
             return list(servers)
         ring = sorted(servers, key=lambda server: (crc32(repr(server.host).encode()), repr(server.host)))
-        start = int((self._set.me * GOLDEN) % 1.0 * len(ring))
+        start = int((self._set.replica_index * GOLDEN) % 1.0 * len(ring))
         return [ring[(start + step) % len(ring)] for step in range(size)]
 
     @staticmethod
--- a/bridgesaddle/drill.py
+++ b/bridgesaddle/drill.py
@@ -93,25 +93,25 @@
                                      bool(bits & 2), bool(bits & 4))
 
     def _begun(self, now_ns: int, fields: tuple[Any, ...]) -> None:
-        self._of(fields[0]).balancer.on_first(now_ns, fields[1], fields[2])
+        self._of(fields[0]).balancer.on_response_started(now_ns, fields[1], fields[2])
 
     def _end(self, now_ns: int, fields: tuple[Any, ...]) -> None:
-        who, rid, number, host, reason, spent, settled, load = fields
+        who, rid, number, host, reason, spent, request_ended, load = fields
         self._of(who).balancer.on_outcome(now_ns, rid, number, host, wire.outcome_of(reason), spent,
-                                          bool(settled), load)
+                                          bool(request_ended), load)
 
     def _vanished(self, now_ns: int, fields: tuple[Any, ...]) -> None:
-        self._of(fields[0]).balancer.on_gone(now_ns, fields[1])
+        self._of(fields[0]).balancer.on_client_disconnected(now_ns, fields[1])
 
     def _ring(self, now_ns: int, fields: tuple[Any, ...]) -> None:
         self._of(fields[0]).balancer.on_timer(now_ns, fields[1])
 
     def _status(self, now_ns: int, fields: tuple[Any, ...]) -> None:
         who, host, reason, spent, load = fields
-        self._of(who).balancer.on_probed(now_ns, host, wire.outcome_of(reason), spent, load)
+        self._of(who).balancer.on_probe_result(now_ns, host, wire.outcome_of(reason), spent, load)
 
     def _says(self, now_ns: int, fields: tuple[Any, ...]) -> None:
-        self._of(fields[0]).balancer.on_peer(now_ns, fields[1], fields[2])
+        self._of(fields[0]).balancer.on_peer_message(now_ns, fields[1], fields[2])
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
--- a/bridgesaddle/lease.py
+++ b/bridgesaddle/lease.py
@@ -3,8 +3,10 @@
 The list is a lease: at its end requests may not go to hosts by that list any more, as a host may drain that the gateway
 has not heard of.  Two proofs alone lengthen it:
 
-* `Told`: discovery has told all that it had at a time.  What it learns later counts `TOLD` after that time.
-* `Unreachable`: discovery could not be reached at a time.  What it has counts `TOLD` after it can be reached again, or
+* `UpToDate`: discovery has told all that it had at a time.  What it learns later counts `PROPAGATION_BOUND_NS`
+  after that time.
+* `Unreachable`: discovery could not be reached at a time.  What it has counts `PROPAGATION_BOUND_NS` after it can
+  be reached again, or
   at once where lists are pushed.
 
 All else that happens can only shorten it: a start, a watch that ends, a call that comes up and is not answered, SIGHUP,
@@ -17,18 +19,18 @@
 
 from .api import MS, SECOND
 
-TOLD = 6 * SECOND
+PROPAGATION_BOUND_NS = 6 * SECOND
 """A change counts as told so long after discovery had it and could be reached, whatever became of calls meanwhile; what
 a silent watch misses, so long after it fell silent."""
-TOLD_RELOAD = 4 * SECOND
+RELOAD_PROPAGATION_BOUND_NS = 4 * SECOND
 """And so long after SIGHUP, whatever a watch has said before then."""
-LINE_WAITS = 3 * SECOND
+MAX_UPDATE_DELAY_NS = 3 * SECOND
 """A change's line waits for its turn at a crowded service for so long at most; then its watch ends."""
-HELD_UP = 150 * MS
+MAX_STALL_NS = 150 * MS
 """The longest hold-up between a look at the clock and a write that the grace has to cover."""
-MOST_RELOADS = 64
+MAX_PENDING_RELOADS = 64
 """Signals that are waited for at once: more come to nothing, as all but the first few end at the same list."""
-MOST_CUTOFFS = 64
+MAX_CUTOFFS = 64
 """Cutoffs that are kept apart; any more become one with the last of them."""
 NEVER = -(1 << 62)
 """Before any time of the monotonic clock, ns."""
@@ -37,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class UpToDate:
     """Discovery has told all that it had at this time, ns."""
 
     at_ns: int
@@ -50,7 +52,7 @@
     at_ns: int
 
 
-Proof = Told | Unreachable
+Proof = UpToDate | Unreachable
 
 
 @dataclass(slots=True)
@@ -100,7 +102,7 @@
     @property
     def until_ns(self) -> int:
         """The last moment at which a request may go out by this list."""
-        return self._counts_ns() + max(0, self._grace_ns - HELD_UP)
+        return self._counts_ns() + max(0, self._grace_ns - MAX_STALL_NS)
 
     def _counts_ns(self) -> int:
         """When the first change that the gateway can't know of may count as told."""
@@ -110,13 +112,14 @@
     def _proven_ns(self) -> int:
         """What the last proofs give by themselves."""
         if not self._pushed:
-            return max(self._told_ns, self._unreachable_ns) + TOLD
-        told_ns = self._told_ns + TOLD   # what a watch misses that falls silent right after its last word
+            return max(self._told_ns, self._unreachable_ns) + PROPAGATION_BOUND_NS
+        told_ns = self._told_ns + PROPAGATION_BOUND_NS
+        # what a watch misses that falls silent right after its last word
         if not self._open:
             told_ns = min(told_ns, self._lost_ns)
         return max(told_ns, self._unreachable_ns)
 
-    def wants_list(self, now_ns: int) -> bool:
+    def needs_list(self, now_ns: int) -> bool:
         """Whether what discovery has counts by now because of SIGHUP, or as it was written and can't be used."""
         return self._unread_ns < UNKNOWN or any(cutoff.counts_ns <= now_ns for cutoff in self._reloads)
 
@@ -124,7 +127,7 @@
 
     def extend(self, proof: Proof) -> None:
         """The only way in which the lease becomes longer."""
-        if isinstance(proof, Told):
+        if isinstance(proof, UpToDate):
             self._away = False
             self._told_ns = max(self._told_ns, proof.at_ns)
             self._cutoffs = [cutoff for cutoff in self._cutoffs if cutoff.settled_ns > proof.at_ns]
@@ -143,7 +146,7 @@
             return False
         self._away = True
         self._unreachable_ns = max(self._unreachable_ns, at_ns)
-        self._cutoffs = [] if self._pushed else [Cutoff(at_ns + TOLD, UNKNOWN)]
+        self._cutoffs = [] if self._pushed else [Cutoff(at_ns + PROPAGATION_BOUND_NS, UNKNOWN)]
         return True
 
     def _counted_ns(self) -> int:
@@ -156,32 +159,32 @@
 
     # ---- What can only shorten it ------------------------------------------------------------------------
 
-    def on_opened(self) -> None:
+    def on_watch_opened(self) -> None:
         """A watch has told its list, and is open from now on."""
         self._open = True
 
     def on_watch_lost(self, at_ns: int, spoke_ns: int) -> None:
         """No watch is open from this time on, which may have ended instead of telling a change.
 
-        It would have told or ended before, had there been anything to tell `LINE_WAITS` before `spoke_ns`: when it was
-        last known to be no silent one.
+        It would have told or ended before, had there been anything to tell `MAX_UPDATE_DELAY_NS` before `spoke_ns`:
+        when it was         last known to be no silent one.
         """
         self._open = False
         self._lost_ns = at_ns
-        self._cutoffs = [cutoff for cutoff in self._cutoffs if cutoff.settled_ns > spoke_ns - LINE_WAITS]
+        self._cutoffs = [cutoff for cutoff in self._cutoffs if cutoff.settled_ns > spoke_ns - MAX_UPDATE_DELAY_NS]
         if not self._pushed:
-            self._cut_off(Cutoff(at_ns + TOLD, UNKNOWN))
+            self._cut_off(Cutoff(at_ns + PROPAGATION_BOUND_NS, UNKNOWN))
 
-    def on_reached(self, at_ns: int) -> None:
+    def on_discovery_reached(self, at_ns: int) -> None:
         """Discovery was there at this time: a call came up then that waited or was answered."""
         self._away = False
-        counts_ns = at_ns if self._pushed else at_ns + TOLD
+        counts_ns = at_ns if self._pushed else at_ns + PROPAGATION_BOUND_NS
         for cutoff in self._cutoffs:
             cutoff.settled_ns = min(cutoff.settled_ns, max(cutoff.counts_ns, counts_ns))
 
-    def on_unanswered(self, at_ns: int) -> None:
+    def on_call_unanswered(self, at_ns: int) -> None:
         """A call that came up at this time was not answered: what discovery had by then has not been told."""
-        self.on_reached(at_ns)
+        self.on_discovery_reached(at_ns)
         if not self._open:
             self._unanswered_ns = max(self._unanswered_ns, at_ns)
             if self._pushed:
@@ -191,17 +194,18 @@
         """A list has been taken: it has what could not be used before."""
         self._unread_ns = UNKNOWN
 
-    def on_unread(self, at_ns: int) -> None:
+    def on_unparsable_update(self, at_ns: int) -> None:
         """Something was written at this time that is not whole, or can't be used: another list is needed."""
         self._unread_ns = min(self._unread_ns, at_ns)
 
     def on_reload(self, from_ns: int, by_ns: int) -> None:
-        """SIGHUP came between these times: discovery may be elsewhere, and what it has counts `TOLD_RELOAD` later."""
-        if len(self._reloads) < MOST_RELOADS:
-            self._reloads.append(Cutoff(from_ns + TOLD_RELOAD, by_ns + TOLD_RELOAD))
+        """SIGHUP came between these times: discovery may be elsewhere, and what it has counts
+        `RELOAD_PROPAGATION_BOUND_NS` later."""
+        if len(self._reloads) < MAX_PENDING_RELOADS:
+            self._reloads.append(Cutoff(from_ns + RELOAD_PROPAGATION_BOUND_NS, by_ns + RELOAD_PROPAGATION_BOUND_NS))
 
     def _cut_off(self, cutoff: Cutoff) -> None:
-        if len(self._cutoffs) >= MOST_CUTOFFS:
+        if len(self._cutoffs) >= MAX_CUTOFFS:
             last = self._cutoffs.pop()
             cutoff = Cutoff(min(last.counts_ns, cutoff.counts_ns), max(last.settled_ns, cutoff.settled_ns))
         self._cutoffs.append(cutoff)
--- a/bridgesaddle/wire.py
+++ b/bridgesaddle/wire.py
@@ -199,7 +199,7 @@
         self._who = who
         self._add = reply.add
 
-    def send(self, rid: int, host: HostId, timeout_ns: int, begin_ns: int = 0) -> None:
+    def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
         self._add(_O_SEND.pack(1, self._who, rid, host, timeout_ns))
 
     def fail(self, rid: int) -> None:
@@ -226,7 +226,7 @@
     def close(self, host: HostId) -> None:
         self._add(_O_ASK.pack(6, self._who, host))
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_peer_message(self, peer: int | None, content: bytes) -> None:
         self._add(_O_TELL.pack(10, self._who, ALL_PEERS if peer is None else peer, len(content)) + content)
 
     def log(self, text: str) -> None:
@@ -270,7 +270,7 @@
     return Limits(
         max_attempts=int(_above_zero(caps.get("max-attempts", 3))),
         cancel=bool(caps.get("cancel", False)),
-        second_copies=bool(caps.get("may-duplicate", False)),
+        allows_concurrent_attempts=bool(caps.get("may-duplicate", False)),
         probes=bool(caps.get("probes", False)),
         peers=bool(caps.get("peers", False)),
         retry_after=bool(caps.get("retry-after", False)),
@@ -278,7 +278,7 @@
         connect_timeout_ns=int(caps.get("dial-timeout-ns", 0)),
         conn_idle_ns=int(caps.get("conn-idle-ns", 0)),
         streams_per_conn=int(caps.get("streams-per-conn", 1)),
-        open_cap=int(caps.get("open-cap", 0)),
+        max_open_requests=int(caps.get("open-cap", 0)),
         cpu_us_per_s=float(caps.get("cpu-us-per-s", 0.0)),
         cpu_us_per_request=float(caps.get("cpu-us-per-request", 0.0)),
     )
@@ -339,7 +339,7 @@
             weights=str(info.get("weights", "off")),
             kinds=len(info.get("flavors", ())),
             marks_retry=bool(info.get("callers", {}).get("marks-retry", False)),
-            me=int(info.get("my-number", 0)),
+            replica_index=int(info.get("my-number", 0)),
             replicas=max(1, int(info.get("replicas-of-me", 1))),
             tick_ns=max(1, int(info.get("round-ns", 1_000_000))),
             ask_discovery=info.get("discovery") == "on_request",
--- a/gateway/clocks.py
+++ b/gateway/clocks.py
@@ -27,13 +27,13 @@
 from __future__ import annotations
 
 from bridgesaddle.api import MS, SECOND
-from bridgesaddle.lease import TOLD
+from bridgesaddle.lease import PROPAGATION_BOUND_NS
 
 HEARTBEAT = 2 * SECOND
 """An empty line comes so often while nothing changes."""
 LATE_BEAT = 200 * MS
 """A heartbeat may be late by so much."""
-TURN = TOLD // 2
+TURN = PROPAGATION_BOUND_NS // 2
 """What a rest leaves to the next call for its turn, at a discovery that serves all gateways.
 
 After the longest wait in vain 2 s are left.
--- a/gateway/core.py
+++ b/gateway/core.py
@@ -164,7 +164,8 @@
 class Core:
     """One gateway: the `Actions` of api.py on real sockets.
 
-    Long messages are streamed: the module hears `on_body` and `on_whole` of requests, `on_first` of answers.
+    Long messages are streamed: the module hears `on_body_streaming` and `on_body_complete` of requests,
+    `on_response_started` of answers.
     """
 
     def __init__(self, settings: Settings, salt: int, timers: Timers, columns: Sequence[str] = (),
@@ -187,7 +188,7 @@
 
     def _take(self, settings: Settings, columns: Sequence[str]) -> None:
         self._settings = settings
-        self._max_open = min(MAX_OPEN, settings.limits.open_cap or MAX_OPEN)
+        self._max_open = min(MAX_OPEN, settings.limits.max_open_requests or MAX_OPEN)
         self.loads = Loads(columns, settings.report_fields)
 
     def attach(self, upstream: Upstream, discovery: Discovery) -> None:
@@ -314,7 +315,7 @@
         request.deadline = request.last_call = FAR
         for attempt in request.out.values():
             attempt.due = FAR
-            self._event(self._module.on_body, request, request.rid, attempt.number)
+            self._event(self._module.on_body_streaming, request, request.rid, attempt.number)
 
     def on_whole(self, request: Request) -> None:
         """The last byte of a long body has come: the client's time begins."""
@@ -332,7 +333,7 @@
 
     def _tell_whole(self, now: int, request: Request) -> None:
         """As `_tell_request`."""
-        self._module.on_whole(now, request.rid, max(1, min(request.deadline - now, request.ttl)))
+        self._module.on_body_complete(now, request.rid, max(1, min(request.deadline - now, request.ttl)))
 
     def begin(self, request: Request, attempt: Attempt, answer: Answer, length: int | None) -> bool:
         """A long answer begins: it is the one, whatever else is out; nothing of it is cut any more."""
@@ -344,7 +345,7 @@
         for other in [other for other in request.out.values() if other is not attempt]:
             self.upstream.cancel(other)
         request.exchange.begin(attempt, answer, length)
-        self._event(self._module.on_first, request, request.rid, attempt.number)
+        self._event(self._module.on_response_started, request, request.rid, attempt.number)
         return not attempt.over
 
     def members_unavailable(self) -> int:
@@ -355,7 +356,7 @@
         """The client has gone: its attempts are cancelled and nothing more is sent."""
         if request.exchange is not None:
             request.exchange = None
-            self._event(self._module.on_gone, request, request.rid)
+            self._event(self._module.on_client_disconnected, request, request.rid)
             self._finish(request)
 
     def on_half_closed(self, request: Request) -> None:
@@ -421,7 +422,7 @@
         if exchange is not None:
             event(log, "failed", request=request.name, why="its time is up, its client ends or the program does")
             exchange.broken() if request.streamed else exchange.failed()
-            self._event(self._module.on_gone, None, request.rid)
+            self._event(self._module.on_client_disconnected, None, request.rid)
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
@@ -472,7 +473,7 @@
 
     # ---- Actions -----------------------------------------------------------------------------------
 
-    def send(self, rid: int, host: HostId, timeout_ns: int, begin_ns: int = 0) -> None:
+    def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
         """Start an attempt."""
         request = self._requests.get(rid)
         if request is None:
@@ -484,7 +485,7 @@
         attempt = Attempt(host, number, request.payload, self._now, due,
                           lambda attempt, outcome, answer: self._ended(request, attempt, outcome, answer),
                           receiver=_Receiver(self, request), body=request.body,
-                          begin_by=self._now + begin_ns if begin_ns else FAR,
+                          begin_by=self._now + write_within_ns if write_within_ns else FAR,
                           unwanted=lambda: self._may_have_left(request))
         attempt.held_before = self._held_ns()
         request.out[number] = attempt
@@ -557,14 +558,14 @@
 
     def _probed(self, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
         load = self.loads.read(answer.body) if outcome is Outcome.OK and answer is not None else ()
-        self._event(self._module.on_probed, None, attempt.host, outcome, max(1, now_ns() - attempt.started),
+        self._event(self._module.on_probe_result, None, attempt.host, outcome, max(1, now_ns() - attempt.started),
                     load)
 
     def close(self, host: HostId) -> None:
         """Close the idle connections to a host."""
         self.upstream.close_idle(host)
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_peer_message(self, peer: int | None, content: bytes) -> None:
         """A datagram to one peer or to all, where the settings allow it."""
         if not self._settings.limits.peers or self.peers is None:
             log.error("a message that is not allowed")
@@ -573,7 +574,7 @@
 
     def on_peer(self, peer: int, content: bytes) -> None:
         """A peer has sent a message."""
-        self._event(self._module.on_peer, None, peer, content)
+        self._event(self._module.on_peer_message, None, peer, content)
 
     def log(self, text: str) -> None:
         """The module's word for whoever is on call."""
--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -10,7 +10,15 @@
 from typing import Any
 
 from bridgesaddle.api import SECOND, ListKind
-from bridgesaddle.lease import LINE_WAITS, TOLD, TOLD_RELOAD, ListLease, Proof, Told, Unreachable
+from bridgesaddle.lease import (
+    MAX_UPDATE_DELAY_NS,
+    PROPAGATION_BOUND_NS,
+    RELOAD_PROPAGATION_BOUND_NS,
+    ListLease,
+    Proof,
+    Unreachable,
+    UpToDate,
+)
 
 from .calls import Call, Try
 from .clocks import (
@@ -135,7 +143,7 @@
         if self._pushed and held_ns > self._grace_ns // 2:
             self._unsure_until = now_ns() + UNSURE
             self._timers.at(self._unsure_until, self._lease_renewed, None)
-        if held_ns > LINE_WAITS and self._watch is not None and self._watch.told and self._second is None:
+        if held_ns > MAX_UPDATE_DELAY_NS and self._watch is not None and self._watch.told and self._second is None:
             self._call_beside(self._watch)   # what it says next may be 2 s away, and of 3 s before
 
     def may_send(self, now: int) -> bool:
@@ -165,7 +173,7 @@
 
     def _is_enough(self, now: int) -> bool:
         """Whether what the watch has said keeps the lease, and no other call is needed for that."""
-        return self.may_send(now) and not self.lease.wants_list(now)
+        return self.may_send(now) and not self.lease.needs_list(now)
 
     def _missed(self, at: int) -> None:
         """Discovery could not be reached by a call or a try of this time."""
@@ -176,11 +184,11 @@
     def _reached(self, at: int) -> None:
         """Discovery was there at this time: a call that was answered came up then, or a watch told a list."""
         self._reach.reached()
-        self.lease.on_reached(at)
+        self.lease.on_discovery_reached(at)
 
-    def _told_by_line(self, at: int) -> Told:
+    def _told_by_line(self, at: int) -> UpToDate:
         """What a line of a watch proves, empty or not: that of a change may wait for its turn behind it."""
-        return Told(at if self._pushed else at - LINE_WAITS)
+        return UpToDate(at if self._pushed else at - MAX_UPDATE_DELAY_NS)
 
     def _extend(self, proof: Proof) -> None:
         """The lease becomes longer by this proof, if it is one of what is not known yet."""
@@ -234,8 +242,8 @@
         now = now_ns()
         self._reloaded_at = now - self.unread_for(now)
         self.lease.on_reload(self._reloaded_at, now)
-        self._timers.at(now + TOLD_RELOAD, self._hear_list, None)
-        self._timers.at(self._reloaded_at + TOLD_RELOAD, self._hear_list, None)
+        self._timers.at(now + RELOAD_PROPAGATION_BOUND_NS, self._hear_list, None)
+        self._timers.at(self._reloaded_at + RELOAD_PROPAGATION_BOUND_NS, self._hear_list, None)
 
     def move(self, address: tuple[str, int], lines: Lines, pushed: bool,
              others: Sequence[tuple[str, int]] = ()) -> None:
@@ -284,7 +292,7 @@
     def _hear_list(self, _: None) -> None:
         """What discovery has counts now: a list of this moment is wanted, and the watch's word may be 2 s away."""
         self.catch_up(now_ns())
-        if not self.lease.wants_list(now_ns()) or not self._wanted:
+        if not self.lease.needs_list(now_ns()) or not self._wanted:
             return
         if self._watch is None:
             self._begin_anew()
@@ -338,7 +346,7 @@
             return
         if self._pushed:
             self._timers.after(SECOND_CALL_PUSHED, self._call_again, call)
-        elif now_ns() - self._reloaded_at < TOLD_RELOAD:
+        elif now_ns() - self._reloaded_at < RELOAD_PROPAGATION_BOUND_NS:
             self._timers.after(SECOND_CALL, self._call_again, call)
 
     def _call_again(self, call: Call) -> None:
@@ -431,8 +439,8 @@
             return
         self._reached(call.connected_at)
         if call is not self._fetch:
-            self.lease.on_opened()
-        self._extend(Told(at))
+            self.lease.on_watch_opened()
+        self._extend(UpToDate(at))
 
     def _choose(self, call: Call) -> None:
         """Of two calls for the watch the first to tell a list is the watch."""
@@ -468,12 +476,12 @@
     def broken(self, call: Call, error: Exception) -> None:
         """Guards against a lost change: the call is given up and begun anew from the last good version."""
         log.warning("broken line dropped: %s", error)
-        self.lease.on_unread(now_ns())
+        self.lease.on_unparsable_update(now_ns())
         self.ended(call, "a broken line")
 
     def cut_short(self, call: Call) -> None:
         """An object has begun and is not whole: what was cut short shows only by nothing coming any more."""
-        self.lease.on_unread(call.heard)
+        self.lease.on_unparsable_update(call.heard)
         patience = cut_short_after(self._pushed, self._grace_ns, self._cuts)
         self._timers.after(patience, self._cut_short, (call, call.heard))
 
@@ -495,7 +503,7 @@
         call.close()
         if not self._replaced(call):
             self._over(call, why, failed)
-        elif self.lease.wants_list(now):
+        elif self.lease.needs_list(now):
             self._timers.after(self._rest(call), self._hear_list, None)
 
     def _learn_from_end(self, call: Call, now: int) -> None:
@@ -508,14 +516,14 @@
                 self._missed(call.tried_at)
         elif call.heard or now - call.connected_at >= AT_ONCE:
             self._reach.reached()
-            self.lease.on_unanswered(call.connected_at)
+            self.lease.on_call_unanswered(call.connected_at)
         elif call.cut_off and not call.status and now - call.connected_at < RESET_AT_ONCE:
             if not self.unread_for(now):   # else it may have waited
                 self._missed(now)
         else:
             self._reach.reached()
             if call.status:   # turned away at once: by a queue that is full, maybe
-                self.lease.on_unanswered(call.connected_at)
+                self.lease.on_call_unanswered(call.connected_at)
         self._lease_renewed()
 
     def _lost(self, call: Call | None, at: int, spoke: int = 0) -> None:
@@ -549,7 +557,8 @@
         """How long the watch rests after a call that has ended.
 
         It doubles with each call in vain, as each costs a service that has too many callers, up to what is left of
-        TOLD.  A service that has told a list ends a watch rather than tell a change, and the change counts: the rest is
+        PROPAGATION_BOUND_NS.  A service that has told a list ends a watch rather than tell a change,
+        and the change counts: the rest is
         a part of the time in which it has to be followed.  So it is where lists are pushed and the service is down,
         which is asked nothing by that, as what it has counts as told whether a watch is open or not; one with too many
         callers lets them wait before it turns them away.  And one whose answer is spoilt on the way is there to answer.
@@ -568,7 +577,7 @@
         if self._grace_ns and (alive or (self._pushed and down)):
             rest = min(BACKOFF_FIRST, self._grace_ns // 4)
         else:
-            left = TOLD - TURN - waited
+            left = PROPAGATION_BOUND_NS - TURN - waited
             rest = min(self._pause, max(BACKOFF_FIRST, left * 2 // 3))   # it is drawn up to half as long again
             self._pause = 2 * rest
             if waited >= rest and not call.heard:   # its wait was its rest, and the lease of the list runs on
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -284,7 +284,7 @@
         Alone nothing is told: whoever waits is better off than refused, even where others find no connection.
         """
         cap = self._sockets // (2 * CLIENTS_MOST) if self._beside else 0
-        return replace(settings, limits=replace(settings.limits, clients_cap=cap))
+        return replace(settings, limits=replace(settings.limits, max_client_requests=cap))
 
     def _bytes(self) -> int:
         """What long messages may hold: the memory limit but for the program, and half of it while two run."""
--- a/moleworks/rig/baselines.py
+++ b/moleworks/rig/baselines.py
@@ -111,12 +111,12 @@
         self._actions.send(rid, host, timeout)
 
     def on_outcome(self, now_ns: int, rid: int, attempt: int, host: HostId, outcome: Outcome, spent_ns: int,
-                   settled: bool, load: Sequence[float]) -> None:
+                   request_ended: bool, load: Sequence[float]) -> None:
         self._out[host] = max(0, self._out.get(host, 0) - 1)
         held = self._held.get(rid)
         if held is None:
             return
-        if settled:
+        if request_ended:
             del self._held[rid]
             return
         if outcome not in NEVER_RAN and held.first is None:
@@ -155,25 +155,26 @@
         else:
             self._actions.fail(rid)
 
-    def on_gone(self, now_ns: int, rid: int) -> None:
+    def on_client_disconnected(self, now_ns: int, rid: int) -> None:
         self._held.pop(rid, None)
 
-    def on_body(self, now_ns: int, rid: int, attempt: int) -> None:
+    def on_body_streaming(self, now_ns: int, rid: int, attempt: int) -> None:
         pass
 
-    def on_whole(self, now_ns: int, rid: int, ttl_ns: int) -> None:
+    def on_body_complete(self, now_ns: int, rid: int, ttl_ns: int) -> None:
         pass
 
-    def on_first(self, now_ns: int, rid: int, attempt: int) -> None:
+    def on_response_started(self, now_ns: int, rid: int, attempt: int) -> None:
         pass
 
     def on_lease(self, now_ns: int, valid: bool) -> None:
         pass
 
-    def on_probed(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int, load: Sequence[float]) -> None:
+    def on_probe_result(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
+                        load: Sequence[float]) -> None:
         pass
 
-    def on_peer(self, now_ns: int, peer: int, content: bytes) -> None:
+    def on_peer_message(self, now_ns: int, peer: int, content: bytes) -> None:
         pass
 
     def on_settings(self, now_ns: int, settings: Settings) -> None:
--- a/moleworks/rig/virtual/gateway.py
+++ b/moleworks/rig/virtual/gateway.py
@@ -126,7 +126,7 @@
         request = self._requests.get(rid)
         if request is not None and not request.over:
             request.over = True
-            self._event(self._module.on_gone, rid)
+            self._event(self._module.on_client_disconnected, rid)
             self._finish(request)
 
     def listed(self, kind: ListKind, entries: list[HostEntry], generation: int) -> None:
@@ -150,7 +150,7 @@
         spent = max(1, now - attempt.started)
         request = attempt.request
         if request is None:
-            self._event(self._module.on_probed, attempt.host, outcome, spent, load)
+            self._event(self._module.on_probe_result, attempt.host, outcome, spent, load)
             return
         request.out.pop(attempt.number, None)
         if outcome is Outcome.OK and not request.over:
@@ -173,7 +173,7 @@
     def _last_call(self, request: Request) -> None:
         if not request.over:
             self._answer(request, "failed", 0)
-            self._event(self._module.on_gone, request.rid)
+            self._event(self._module.on_client_disconnected, request.rid)
             self._finish(request)
 
     def _finish(self, request: Request) -> None:
@@ -212,7 +212,7 @@
 
     # ---- Actions of api.py --------------------------------------------------------------------------
 
-    def send(self, rid: int, host: HostId, timeout_ns: int, begin_ns: int = 0) -> None:
+    def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
         request = self._requests.get(rid)
         if request is None:
             return
@@ -274,12 +274,12 @@
         for _ in self.idle.pop(str(host), []):
             self._fleet.disconnected(str(host))
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_peer_message(self, peer: int | None, content: bytes) -> None:
         self._fleet.tell(self, peer, content)
 
     def on_peer(self, peer: int, content: bytes) -> None:
         """A peer has sent a message."""
-        self._event(self._module.on_peer, peer, content)
+        self._event(self._module.on_peer_message, peer, content)
 
     def log(self, text: str) -> None:
         pass
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -93,7 +93,7 @@
         self.list_valid = valid
         self.module.on_lease(self.now, valid)
 
-    def send(self, rid: int, host: HostId, timeout_ns: int, begin_ns: int = 0) -> None:
+    def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
         if not self.list_valid:
             self.broken.append("drain: sent by a list that is too old")
         held = self.held[rid]
@@ -102,8 +102,8 @@
         grace = self.settings.rules.drain_grace_ns
         if host in self.barred and self.now > self.barred[host] + grace:
             self.broken.append(f"3: {host!r} is sent work {self.now - self.barred[host]} ns after its drain")
-        self._judge_repeat(held, host, begin_ns)
-        if held.out and not self.settings.limits.second_copies:
+        self._judge_repeat(held, host, write_within_ns)
+        if held.out and not self.settings.limits.allows_concurrent_attempts:
             self.broken.append(f"2: request {rid} has two copies out")
         held.out[held.count] = host
         held.sent.append((host, self.now))
@@ -113,7 +113,7 @@
         self.sends.append((rid, host, timeout_ns))
         self.times.append(self.now)
 
-    def _judge_repeat(self, held: _Held, host: HostId, begin_ns: int) -> None:
+    def _judge_repeat(self, held: _Held, host: HostId, write_within_ns: int) -> None:
         cls, target = held.cls, self.hosts[host]
         for old, at in held.sent:
             if cls.effect is Effect.UNSAFE:
@@ -124,7 +124,7 @@
                         Group.CELL: first.cell == target.cell}[cls.group]
                 if not same or self.now > at + cls.window_ns:
                     self.broken.append("2: a keyed request leaves its group or its window")
-                if not 0 < begin_ns < at + cls.window_ns - self.now:
+                if not 0 < write_within_ns < at + cls.window_ns - self.now:
                     self.broken.append("2: a copy may be begun past the window")
 
     def fail(self, rid: int) -> None:
@@ -167,7 +167,7 @@
     def close(self, host: HostId) -> None:
         pass
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_peer_message(self, peer: int | None, content: bytes) -> None:
         if not self.settings.limits.peers or len(content) > 256:
             self.broken.append("a message that is not allowed")
         self.told.append(content)
@@ -220,7 +220,7 @@
         if not self.held[rid].over:
             self.held[rid].over = True
             self.ends[rid] = "gone"
-        self.module.on_gone(self.now, rid)
+        self.module.on_client_disconnected(self.now, rid)
 
     def run(self, until_ns: int) -> None:
         """Time passes, in ticks; due timers ring."""
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from bridgesaddle import Balancer
-from bridgesaddle.lease import Told
+from bridgesaddle.lease import UpToDate
 from gateway.core import Maker
 from gateway.program import Config, Gateway
 from gateway.timers import now_ns
@@ -232,9 +232,9 @@
     def _take_the_known_list_for_told(self) -> None:
         """What these tests are about comes after that: their discovery tells nothing by itself."""
         lease, now = self.gateway.discovery.lease, now_ns()
-        lease.on_reached(now)
-        lease.on_opened()
-        lease.extend(Told(now))
+        lease.on_discovery_reached(now)
+        lease.on_watch_opened()
+        lease.extend(UpToDate(now))
         self.gateway.core.on_lease()
 
     async def client(self) -> Client:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -31,7 +31,7 @@
     """What one process sends to cold hosts, and how long after their start."""
     random = Random(me)
     names = [f"h{number}" for number in range(hosts)]
-    gateway = Gateway(some_settings(zone=me % 3, zones=3, replicas=processes, me=me, rules=RULES),
+    gateway = Gateway(some_settings(zone=me % 3, zones=3, replicas=processes, replica_index=me, rules=RULES),
                       [entry(name, zone=number % 3) for number, name in enumerate(names)], salt=me)
     fresh = random.random() < 0.1
     ends: list[tuple[int, int, int]] = []   # when which attempt of which request is answered
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -63,7 +63,7 @@
 def test_many_gateways_together_keep_a_cold_server_standing() -> None:
     """Each of eighty sent one request a window to the one server left, just started: it fell."""
     rules = Rules(cold_share=0.3, warm_within_ns=10 * SECOND, fall_multiple=3.0, fall_ns=2 * SECOND)
-    settings = [some_settings(replicas=80, me=number, rules=rules) for number in range(80)]
+    settings = [some_settings(replicas=80, replica_index=number, rules=rules) for number in range(80)]
     sent = 0
     for number, told in enumerate(settings):
         gateway = Gateway(told, [entry("warm")], salt=number)
@@ -185,7 +185,7 @@
 def test_held_requests_leave_connections_for_new_ones() -> None:
     """All of the clients' connections were taken by requests that waited: nobody heard of new ones."""
     classes = (a_class(name="cheap", worth=1.0), a_class(name="dear", worth=9.0))
-    gateway = Gateway(some_settings(*classes, limits=Limits(max_attempts=5, clients_cap=8)), [entry("h")])
+    gateway = Gateway(some_settings(*classes, limits=Limits(max_attempts=5, max_client_requests=8)), [entry("h")])
     cheap = [gateway.request(0) for _ in range(20)]
     dear = [gateway.request(1) for _ in range(3)]
     out = {rid for rid, _, _ in gateway.sends}
@@ -526,7 +526,7 @@
     hosts = [entry(f"h{number}", zone=number % 3) for number in range(60)]
     users: Counter[HostId] = Counter()
     for me in range(13):
-        gateway = Gateway(some_settings(zones=3, replicas=40, me=me), hosts, salt=me)
+        gateway = Gateway(some_settings(zones=3, replicas=40, replica_index=me), hosts, salt=me)
         settle(gateway, 60, 20 * MS)
         users.update(host for host in gateway.hosts_sent() if gateway.hosts[host].zone == 0)
     assert len(users) == 20
@@ -572,7 +572,7 @@
     rules = Rules(cold_share=0.12, warm_within_ns=24 * SECOND, fall_multiple=3.0, fall_ns=1500 * MS)
     sent: Counter[HostId] = Counter()
     for me in range(42):
-        gateway = Gateway(some_settings(zone=me % 3, zones=3, replicas=42, me=me, rules=rules),
+        gateway = Gateway(some_settings(zone=me % 3, zones=3, replicas=42, replica_index=me, rules=rules),
                           [entry(f"h{number}", zone=number % 3) for number in range(60)], salt=me)
         settle(gateway, 60, 80 * MS, 20 * MS)
         gateway.list(ListKind.FULL, [
@@ -665,7 +665,7 @@
 def long_body(gateway: Gateway, effect_cls: int = 0) -> int:
     """A request whose long body has outgrown what is held of it."""
     rid = gateway.request(effect_cls)
-    gateway.module.on_body(gateway.now, rid, 0)
+    gateway.module.on_body_streaming(gateway.now, rid, 0)
     return rid
 
 
@@ -675,7 +675,7 @@
     gateway.held[rid].deadline = 60 * SECOND
     gateway.run(5 * SECOND)
     assert rid not in gateway.ends and len(gateway.sends) == 1
-    gateway.module.on_whole(gateway.now, rid, SECOND)
+    gateway.module.on_body_complete(gateway.now, rid, SECOND)
     gateway.held[rid].deadline = gateway.now + SECOND
     gateway.run(gateway.now + 2 * SECOND)
     assert (gateway.ends[rid], len(gateway.sends)) == ("refuse", 1)
@@ -687,7 +687,7 @@
     gateway = Gateway(some_settings(a_class(Effect.UNSAFE)), [entry(f"h{n}") for n in range(4)])
     rid = long_body(gateway)
     if whole:
-        gateway.module.on_whole(gateway.now, rid, SECOND)
+        gateway.module.on_body_complete(gateway.now, rid, SECOND)
     gateway.run(gateway.now + 50 * MS)
     gateway.outcome(rid, Outcome.CONNECT_FAILED)
     assert (gateway.ends[rid], len(gateway.sends)) == ("refuse", 1)   # at once, and it can't have run
@@ -699,9 +699,9 @@
     pool = gateway.module._near
     coming, going = long_body(gateway), gateway.request()
     assert pool.inflight == 1
-    gateway.module.on_first(gateway.now, going, 0)
+    gateway.module.on_response_started(gateway.now, going, 0)
     assert pool.inflight == 0
-    gateway.module.on_whole(gateway.now, coming, SECOND)
+    gateway.module.on_body_complete(gateway.now, coming, SECOND)
     assert pool.inflight == 1
     for rid in (coming, going):
         gateway.outcome(rid, Outcome.OK)
--- a/tests/test_orders_safeguards.py
+++ b/tests/test_orders_safeguards.py
@@ -12,7 +12,7 @@
 
 import bridgesaddle.lease
 import gateway.discovery
-from bridgesaddle.lease import ListLease, Proof, Told, Unreachable
+from bridgesaddle.lease import ListLease, Proof, Unreachable, UpToDate
 from tests.orders import rows
 from tests.orders.draw import Answer, Kind, Step, Steps
 from tests.orders.play import play, virtual_time
@@ -61,18 +61,18 @@
 DOWN = (_crowd(35.0), Step(Kind.CHANGE, 2.9))
 
 EDITS: dict[str, tuple[Edit, bool, Steps]] = {
-    "what discovery told": (_later(Told), False, (QUEUED, _crowd(20.0))),
+    "what discovery told": (_later(UpToDate), False, (QUEUED, _crowd(20.0))),
     "discovery that is down, asked": (_later(Unreachable), False, (Step(Kind.REFUSED, span=5.0), *DOWN)),
     "the end of a watch, asked": (_without("on_watch_lost"), False, LOST_TWICE),
     "the end of a watch, pushed":
         (_without("on_watch_lost"), True, (_crowd(9.0), Step(Kind.END), Step(Kind.CHANGE, 1.0))),
     "the start of a process": (_starts_later, True,
                                rows.PUSHED["started anew, calls are reset from 0.5 s after the start on"]),
-    "what was cut short": (_without("on_unread"), False, CUT),
+    "what was cut short": (_without("on_unparsable_update"), False, CUT),
     "SIGHUP": (_without("on_reload"), False, MOVED),
-    "the time from SIGHUP on": (_figure(bridgesaddle.lease, "TOLD_RELOAD", 4400 * MS), False, MOVED),
-    "a line that waits": (_figure(gateway.discovery, "LINE_WAITS", 0), False, (QUEUED, _crowd(20.0))),
-    "the part of the grace for hold-ups": (_figure(bridgesaddle.lease, "HELD_UP", 0), False,
+    "the time from SIGHUP on": (_figure(bridgesaddle.lease, "RELOAD_PROPAGATION_BOUND_NS", 4400 * MS), False, MOVED),
+    "a line that waits": (_figure(gateway.discovery, "MAX_UPDATE_DELAY_NS", 0), False, (QUEUED, _crowd(20.0))),
+    "the part of the grace for hold-ups": (_figure(bridgesaddle.lease, "MAX_STALL_NS", 0), False,
                                            (*MOVED, replace(_crowd(5.0), after=0.3))),
 }
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -51,7 +51,7 @@
             rid = waiting[number % len(waiting)]
             if gateway.held[rid].cls.stream and not gateway.held[rid].over:
                 gateway.held[rid].over = True   # no deadline any more; its answer is the stream
-                gateway.module.on_first(gateway.now, rid, min(gateway.held[rid].out))
+                gateway.module.on_response_started(gateway.now, rid, min(gateway.held[rid].out))
         elif what == "gone" and gateway.held:
             gateway.gone(list(gateway.held)[number % len(gateway.held)])
         elif what == "time":
@@ -71,9 +71,9 @@
         elif what == "failed":
             gateway.list(ListKind.FAILED, [])
         elif what == "peer":
-            gateway.module.on_peer(gateway.now, number, b"\x00" * (number % 40))
+            gateway.module.on_peer_message(gateway.now, number, b"\x00" * (number % 40))
         elif what == "probed":
-            gateway.module.on_probed(gateway.now, "h1", Outcome.OK, MS, ())
+            gateway.module.on_probe_result(gateway.now, "h1", Outcome.OK, MS, ())
         elif what == "timer":
             gateway.module.on_timer(gateway.now, 10_000 + number)
     gateway.run(gateway.now + 3 * SECOND)
@@ -85,7 +85,7 @@
        st.booleans())
 def test_the_rules_hold_whatever_happens(steps: list[tuple[str, int, int]], cancel: bool, copies: bool,
                                          servers: int, zones: int, ask: bool) -> None:
-    limits = Limits(max_attempts=4, cancel=cancel, second_copies=copies)
+    limits = Limits(max_attempts=4, cancel=cancel, allows_concurrent_attempts=copies)
     gateway = play(steps, limits, servers, zones, ask)
     assert gateway.broken == []
     assert all(held.answers <= 1 for held in gateway.held.values())
@@ -117,7 +117,7 @@
 def test_the_choke_point_keeps_each_rule_alone() -> None:
     """Placement offers lawful servers only; the choke point must not lean on that."""
     keyed = a_class(Effect.KEYED, Group.CELL, window_ns=400 * MS)
-    told = some_settings(keyed, limits=Limits(max_attempts=4, second_copies=False))
+    told = some_settings(keyed, limits=Limits(max_attempts=4, allows_concurrent_attempts=False))
     gateway = Gateway(told, [entry(f"h{n}", cell=n // 2) for n in range(4)])
     rid = gateway.request()
     module = gateway.module
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -449,12 +449,12 @@
         self.rid = rid
         self.actions.probe("h0")
 
-    def on_probed(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
+    def on_probe_result(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
                   load: Sequence[float]) -> None:
-        self.actions.tell(0, f"{host} {outcome.name} {load}".encode())
-        self.actions.tell(9, b"to nobody")
+        self.actions.send_peer_message(0, f"{host} {outcome.name} {load}".encode())
+        self.actions.send_peer_message(9, b"to nobody")
 
-    def on_peer(self, now_ns: int, peer: int, content: bytes) -> None:
+    def on_peer_message(self, now_ns: int, peer: int, content: bytes) -> None:
         self.actions.send(self.rid, "h0", 0) if content == b"h0 OK (7.0,)" and peer == 0 else None
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -136,7 +136,7 @@
         "load-report": {"source": "inline", "columns": ["utilization", "backlog"]}, "value-by": "work",
     }).encode())
     limits, prices, goal = told.limits, told.prices, told.goal
-    assert (limits.conn_idle_ns, limits.streams_per_conn, limits.open_cap) == (7, 3, 9)
+    assert (limits.conn_idle_ns, limits.streams_per_conn, limits.max_open_requests) == (7, 3, 9)
     assert (limits.cpu_us_per_s, limits.cpu_us_per_request, limits.connect_timeout_ns) == (8000, 1.5, 11)
     assert (prices.cross_zone, prices.waste, prices.probe) == (0.2, 0.1, 0.3)
     assert (prices.handshake, prices.connection, prices.late_fail) == (0.4, 0.5, 0.6)
