--- a/moleworks/cli/store.py
+++ b/moleworks/cli/store.py
@@ -31,8 +31,8 @@
     """Run a member until SIGTERM.  Exit 1 with one line where it can't go on."""
     import uvloop
 
-    from moleworks.store.disk import Damaged
-    from moleworks.store.member import Member, Stopped
+    from moleworks.store.disk import CorruptStore
+    from moleworks.store.member import Member, MemberStopped
     where = address(listen, "--listen")
     found = {}
     for text in filter(None, peers.split(",")):
@@ -51,11 +51,11 @@
         await member.run()
     try:
         uvloop.run(main())
-    except Stopped as error:
+    except MemberStopped as error:
         if str(error):
             print(f"moleworks: store {name}: {error}", file=sys.stderr)
             return 1
-    except (Damaged, OSError) as error:
+    except (CorruptStore, OSError) as error:
         print(f"moleworks: store {name}: {error}", file=sys.stderr)
         return 1
     return 0
@@ -203,11 +203,11 @@
 @CLUSTER
 def check(folder: Path, name: str, cluster: str) -> int:
     """Read the whole disk of a member that is not running; exit 1 with one line where it is damaged."""
-    from moleworks.store.disk import Damaged
+    from moleworks.store.disk import CorruptStore
     from moleworks.store.member import check as checking
     try:
         click.echo(checking(folder, cluster, name))
-    except (Damaged, OSError) as error:
+    except (CorruptStore, OSError) as error:
         print(f"moleworks: {error}", file=sys.stderr)
         return 1
     return 0
@@ -238,7 +238,7 @@
 def backup(file: Path, store: str | None, folder: Path | None, name: str, cluster: str, timeout: float) -> int:
     """Write all records, as of now, into FILE: whole or not at all."""
     from moleworks.store import backup as backups
-    from moleworks.store.disk import Damaged
+    from moleworks.store.disk import CorruptStore
 
     def write(image: bytes) -> int:
         head = backups.write(file, cluster, image)
@@ -255,7 +255,7 @@
         if not store:
             raise click.UsageError("--store or --folder must be given")
         return ask(store, cluster, timeout, act)
-    except (Damaged, OSError) as error:
+    except (CorruptStore, OSError) as error:
         print(f"moleworks: {error}", file=sys.stderr)
         return 1
 
@@ -271,10 +271,10 @@
     All members of the old cluster must have ended, and so long ago as the longest lease.
     """
     from moleworks.store import backup as backups
-    from moleworks.store.disk import Damaged
+    from moleworks.store.disk import CorruptStore
     try:
         head = backups.restore(file, folder, cluster, name)
-    except (Damaged, OSError) as error:
+    except (CorruptStore, OSError) as error:
         print(f"moleworks: {error}", file=sys.stderr)
         return 1
     click.echo(f"{folder}: {head.records} records; revisions go on after {head.revision}.  Start it with "
--- a/moleworks/duties/held.py
+++ b/moleworks/duties/held.py
@@ -8,12 +8,12 @@
 
     def __init__(self, duty: str, token: int, ttl_ms: int, sent: int) -> None:
         self.duty, self.token, self.ttl_ms = duty, token, ttl_ms
-        self.until = sent + int(ttl_ms * 1e6)
+        self.expires_at = sent + int(ttl_ms * 1e6)
 
-    def renewed(self, sent: int) -> None:
+    def on_renewed(self, sent: int) -> None:
         """A renewal that was sent then has been granted."""
-        self.until = max(self.until, sent + int(self.ttl_ms * 1e6))
+        self.expires_at = max(self.expires_at, sent + int(self.ttl_ms * 1e6))
 
     def holds(self, now: int) -> bool:
         """Whether it may act now."""
-        return now < self.until
+        return now < self.expires_at
--- a/moleworks/duties/holder.py
+++ b/moleworks/duties/holder.py
@@ -47,7 +47,7 @@
     async def _watch(self, changed: asyncio.Event) -> None:
         """On a connection of its own, so that its loss disturbs no call."""
         with contextlib.suppress(Refused):
-            async with self._client.twin() as client:
+            async with self._client.clone() as client:
                 async for row in client.watch_duty(self.duty):
                     if row is None or row.to == self.name:
                         changed.set()
@@ -70,12 +70,12 @@
                 async with asyncio.timeout(self.ttl_ms / 1000 / 10 * random.uniform(0.5, 1.0)):
                     await changed.wait()
 
-    async def keep(self, until: Callable[[], bool] = lambda: False) -> str:
+    async def renew_until_lost(self, until: Callable[[], bool] = lambda: False) -> str:
         """Renew until it is lost, its time is nearly out, or `until` says so; returns why it ended."""
         held = self.held
         assert held is not None
         while not until():
-            left = (held.until - time.monotonic_ns()) / 1e9
+            left = (held.expires_at - time.monotonic_ns()) / 1e9
             if left < self.ttl_ms / 1000 * STOP:
                 return "no renewal in time"
             sent = time.monotonic_ns()
@@ -84,7 +84,7 @@
                     result = await self._client.renew(self.duty, held.token)
                 if not result.done:
                     return result.why
-                held.renewed(sent)
+                held.on_renewed(sent)
             except (Unavailable, TimeoutError):
                 continue
             await asyncio.sleep(self.ttl_ms / 1000 / RENEW)
@@ -108,13 +108,13 @@
     held = await holder.acquire()
     process = await asyncio.create_subprocess_exec(*command, start_new_session=True, preexec_fn=die_with_parent,
                                                    env=_environ(holder, held.token))
-    keeping = asyncio.create_task(holder.keep())
+    keeping = asyncio.create_task(holder.renew_until_lost())
     waiting = asyncio.create_task(process.wait())
     try:
         await asyncio.wait((keeping, waiting), return_when=asyncio.FIRST_COMPLETED)
         if not waiting.done():
             log.error("duty_lost", duty=holder.duty, why=keeping.result())
-            await _end(process, (held.until - time.monotonic_ns()) / 1e9)
+            await _end(process, (held.expires_at - time.monotonic_ns()) / 1e9)
             return 75
         return await waiting
     finally:
--- a/moleworks/gossip/core.py
+++ b/moleworks/gossip/core.py
@@ -17,17 +17,17 @@
     LEFT,
     SUSPECT,
     Ack,
-    Ask,
-    Entries,
+    Delta,
+    DeltaRequest,
+    Digest,
+    DigestRequest,
     Message,
     Ping,
-    Probe,
+    PingRequest,
     Rumor,
     State,
-    Vector,
-    Want,
 )
-from .values import JUMP, LIVES, NEVER, STEP, Values
+from .values import JUMP, LIVES, NEVER_NS, STEP, Values
 
 MS = 1_000_000
 MEMBERS = 1000
@@ -80,7 +80,7 @@
         self._order: list[str] = []           # whom to probe next: each once a round, in an order drawn anew
         self._probing: tuple[int, str, int, bool] | None = None    # number, whom, sent, helpers asked
         self._rumors: dict[str, int] = {}     # of whom there is something to tell, and how often yet
-        self._asked: dict[int, _Asked] = {}
+        self._digest_requests: dict[int, _Asked] = {}
         self._pending: dict[str, tuple[int, int, int]] = {}   # owner: version that is being fetched, and its moment
         self._probe_at = now + rng.randrange(self.timers.probe)
         self._ask_at = now + rng.randrange(self.timers.ask)
@@ -129,7 +129,7 @@
                 found.append(Rumor(name, peer.address, peer.incarnation, peer.state))
         return tuple(found)
 
-    def _hear(self, now: int, rumors: tuple[Rumor, ...]) -> None:
+    def _apply_rumors(self, now: int, rumors: tuple[Rumor, ...]) -> None:
         for rumor in rumors[:RUMORS * 2]:
             if rumor.name == self.name:
                 worse = rumor.state in (SUSPECT, DEAD, LEFT) and not self.leaving
@@ -166,7 +166,7 @@
     # ---- Time --------------------------------------------------------------------------------------------
 
     @property
-    def due(self) -> int:
+    def next_tick_at(self) -> int:
         """When `tick` is wanted next."""
         at = min(self._probe_at, self._ask_at)
         if self._probing is not None and not self._probing[3]:
@@ -182,7 +182,8 @@
         if probing is not None and not probing[3] and now >= probing[2] + self._patience():
             self._probing = (probing[0], probing[1], probing[2], True)
             for helper in self._some(self.timers.helpers, probing[1]):
-                self._send(self.peers[helper].address, Probe(probing[0], self.name, probing[1], self._take_rumors()))
+                self._send(self.peers[helper].address, PingRequest(probing[0], self.name, probing[1],
+                                                                    self._take_rumors()))
         if now >= self._probe_at:
             self._probe_at = now + self.timers.probe * (1 + self.health)
             self._round(now)
@@ -226,32 +227,32 @@
 
     def _ask(self, now: int, name: str) -> None:
         self._numbers += 1
-        self._asked[self._numbers] = _Asked(name, now)
-        while len(self._asked) > OUT:
-            del self._asked[next(iter(self._asked))]
-        self._send(self.peers[name].address, Ask(self._numbers, self.name))
+        self._digest_requests[self._numbers] = _Asked(name, now)
+        while len(self._digest_requests) > OUT:
+            del self._digest_requests[next(iter(self._digest_requests))]
+        self._send(self.peers[name].address, DigestRequest(self._numbers, self.name))
 
     # ---- Messages ----------------------------------------------------------------------------------------
 
     def on_message(self, now: int, address: str, message: Message) -> None:
         """A datagram from there."""
-        if isinstance(message, Ping | Ack | Probe):
-            self._hear(now, message.rumors)
+        if isinstance(message, Ping | Ack | PingRequest):
+            self._apply_rumors(now, message.rumors)
         if isinstance(message, Ping):
             if message.target == self.name:
                 self._known(now, message.source, address)
                 self._send(address, Ack(message.number, self.name, message.by, self._take_rumors()))
-        elif isinstance(message, Probe):
+        elif isinstance(message, PingRequest):
             if message.target in self.peers:
                 self._ping(now, message.target, message.source, message.number)
         elif isinstance(message, Ack):
             self._on_ack(now, message)
-        elif isinstance(message, Ask):
+        elif isinstance(message, DigestRequest):
             self._known(now, message.source, address)
-            self._answer(now, address, message)
-        elif isinstance(message, Vector):
-            self._on_vector(now, address, message)
-        elif isinstance(message, Want):
+            self._on_digest_request(now, address, message)
+        elif isinstance(message, Digest):
+            self._on_digest(now, address, message)
+        elif isinstance(message, DeltaRequest):
             self._on_want(address, message)
         else:
             self._on_entries(message)
@@ -271,15 +272,15 @@
             self._probing = None
             self.health = max(0, self.health - 1)
 
-    def _answer(self, now: int, address: str, ask: Ask) -> None:
+    def _on_digest_request(self, now: int, address: str, ask: DigestRequest) -> None:
         states = [State(owner, known.life, known.count, self.values.age(now, owner) // MS + 1)
                   for owner, known in self.values.owners.items()
-                  if owner == self.name or known.fresh != NEVER]
+                  if owner == self.name or known.fresh != NEVER_NS]
         for at in range(0, len(states), STATES_EACH):
-            self._send(address, Vector(ask.number, self.name, tuple(states[at:at + STATES_EACH])))
+            self._send(address, Digest(ask.number, self.name, tuple(states[at:at + STATES_EACH])))
 
-    def _on_vector(self, now: int, address: str, vector: Vector) -> None:
-        asked = self._asked.get(vector.number)
+    def _on_digest(self, now: int, address: str, vector: Digest) -> None:
+        asked = self._digest_requests.get(vector.number)
         if asked is None or asked.whom != vector.source:
             return
         values = self.values
@@ -303,18 +304,18 @@
                     self._pending[state.owner] = (state.life, state.count, at)
                 want.append((state.owner, *version))
         if want:
-            self._send(address, Want(vector.number, self.name, tuple(want)))
+            self._send(address, DeltaRequest(vector.number, self.name, tuple(want)))
 
-    def _on_want(self, address: str, want: Want) -> None:
+    def _on_want(self, address: str, want: DeltaRequest) -> None:
         for owner, life, count in want.known[:STATES_EACH]:
-            found = self.values.beyond(owner, life, count, ROOM)
+            found = self.values.delta_since(owner, life, count, ROOM)
             if found is not None:
                 after, entries, upto, whole = found
-                self._send(address, Entries(want.number, self.name, owner, self.values.owners[owner].life, after,
+                self._send(address, Delta(want.number, self.name, owner, self.values.owners[owner].life, after,
                                             tuple(entries), upto, whole))
 
-    def _on_entries(self, told: Entries) -> None:
-        if told.number not in self._asked or not self.values.merge(told):
+    def _on_entries(self, told: Delta) -> None:
+        if told.number not in self._digest_requests or not self.values.merge(told):
             return
         pending = self._pending.get(told.owner)
         known = self.values.owners[told.owner]
--- a/moleworks/gossip/messages.py
+++ b/moleworks/gossip/messages.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 VERSION = 1
-MOST = 1400
+MAX_DATAGRAM_BYTES = 1400
 """Bytes of a datagram."""
 _HEAD = struct.Struct(">BQ")
 
@@ -44,7 +44,7 @@
     rumors: tuple[Rumor, ...] = ()
 
 
-class Probe(Struct, frozen=True, tag=3, array_like=True):
+class PingRequest(Struct, frozen=True, tag=3, array_like=True):
     """Ask that one for me."""
 
     number: int
@@ -53,7 +53,7 @@
     rumors: tuple[Rumor, ...] = ()
 
 
-class Ask(Struct, frozen=True, tag=4, array_like=True):
+class DigestRequest(Struct, frozen=True, tag=4, array_like=True):
     """What do you know, and how old is it?"""
 
     number: int
@@ -69,15 +69,15 @@
     age: int
 
 
-class Vector(Struct, frozen=True, tag=5, array_like=True):
-    """The answer to `Ask`, in parts that each stand alone."""
+class Digest(Struct, frozen=True, tag=5, array_like=True):
+    """The answer to `DigestRequest`, in parts that each stand alone."""
 
     number: int
     source: str
     states: tuple[State, ...]
 
 
-class Want(Struct, frozen=True, tag=6, array_like=True):
+class DeltaRequest(Struct, frozen=True, tag=6, array_like=True):
     """Entries of these owners beyond what I have: owner, life, count."""
 
     number: int
@@ -94,7 +94,7 @@
     time: int = 0        # hybrid, for keys that many write
 
 
-class Entries(Struct, frozen=True, tag=7, array_like=True):
+class Delta(Struct, frozen=True, tag=7, array_like=True):
     """Of one owner: all that is beyond `after`, up to the last one here; `whole`: in place of all that was known."""
 
     number: int
@@ -107,12 +107,12 @@
     whole: bool = False
 
 
-Message = Ping | Ack | Probe | Ask | Vector | Want | Entries
+Message = Ping | Ack | PingRequest | DigestRequest | Digest | DeltaRequest | Delta
 _ENCODE = msgspec.msgpack.Encoder().encode
 _DECODE: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
-class Foreign(Exception):
+class ForeignDatagram(Exception):
     """A datagram of another fleet or version, or none of ours."""
 
 
@@ -122,13 +122,13 @@
 
 
 def unpack(fleet: int, data: bytes) -> Message:
-    """Raises Foreign."""
-    if len(data) > MOST or len(data) < _HEAD.size:
-        raise Foreign("of no size that is sent")
+    """Raises ForeignDatagram."""
+    if len(data) > MAX_DATAGRAM_BYTES or len(data) < _HEAD.size:
+        raise ForeignDatagram("of no size that is sent")
     version, whose = _HEAD.unpack_from(data)
     if version != VERSION or whose != fleet:
-        raise Foreign("of another fleet or version")
+        raise ForeignDatagram("of another fleet or version")
     try:
         return _DECODE.decode(data[_HEAD.size:])
     except msgspec.DecodeError as error:
-        raise Foreign(str(error)) from None
+        raise ForeignDatagram(str(error)) from None
--- a/moleworks/gossip/values.py
+++ b/moleworks/gossip/values.py
@@ -4,9 +4,9 @@
 
 from msgspec import Struct
 
-from .messages import Entries, Entry
+from .messages import Delta, Entry
 
-KEYS, KEY_BYTES, VALUE_BYTES = 64, 64, 256
+MAX_KEYS, KEY_BYTES, VALUE_BYTES = 64, 64, 256
 JUMP = 1_000_000
 """A version may be so far beyond the known one at most: more is a lie, or of another world."""
 LIVES, STEP, MOST_LIFE = 1 << 31, 1 << 24, 1 << 60
@@ -15,7 +15,7 @@
 """Removed keys whose marks an owner keeps."""
 PACE = 1.02
 """Clocks may be 1 in 100 apart: an age is stated as so many times what the own clock says."""
-NEVER = -(1 << 62)
+NEVER_NS = -(1 << 62)
 
 
 class Owner(Struct):
@@ -24,7 +24,7 @@
     life: int = 0
     count: int = 0
     entries: dict[str, Entry] = {}
-    fresh: int = NEVER       # by this member's clock: whatever the owner did before this is here
+    fresh: int = NEVER_NS       # by this member's clock: whatever the owner did before this is here
     floor: int = 0
 
     def version(self) -> tuple[int, int]:
@@ -48,8 +48,8 @@
         held = sum(entry.value is not None for entry in own.entries.values())
         if not 0 < len(key.encode()) <= KEY_BYTES or (value is not None and len(value) > VALUE_BYTES):
             raise ValueError("key or value is too long")
-        if value is not None and key not in own.entries and held >= KEYS:
-            raise ValueError(f"more than {KEYS} keys")
+        if value is not None and key not in own.entries and held >= MAX_KEYS:
+            raise ValueError(f"more than {MAX_KEYS} keys")
         if value is None and key not in own.entries:
             return
         own.count += 1
@@ -70,7 +70,7 @@
 
     # ---- Others' -----------------------------------------------------------------------------------------
 
-    def beyond(self, owner: str, life: int, count: int, room: int) -> tuple[int, list[Entry], int, bool] | None:
+    def delta_since(self, owner: str, life: int, count: int, room: int) -> tuple[int, list[Entry], int, bool] | None:
         """What somebody with that version lacks: after which count, entries in order, up to where, and if that is all
         of it anew; at most so many bytes.  None where there is nothing newer here."""
         known = self.owners.get(owner)
@@ -88,7 +88,7 @@
             taken.append(entry)
         return after, taken, known.count, whole
 
-    def merge(self, told: Entries) -> bool:
+    def merge(self, told: Delta) -> bool:
         """Take what is new; false where it does not follow on what is here, or can't be."""
         if told.owner == self.name:
             return False
@@ -99,7 +99,7 @@
             if not told.whole:
                 return False
             if told.life > known.life:     # lives are drawn, so the greater one may be the earlier one
-                known.fresh = NEVER
+                known.fresh = NEVER_NS
             known.entries, known.life, known.count, known.floor = {}, told.life, 0, 0
         elif told.after > known.count or told.upto <= known.count:
             return False
@@ -125,7 +125,7 @@
         if owner == self.name:
             return 0
         known = self.owners.get(owner)
-        return int((now - known.fresh) * PACE) if known is not None and known.fresh != NEVER else -NEVER
+        return int((now - known.fresh) * PACE) if known is not None and known.fresh != NEVER_NS else -NEVER_NS
 
     # ---- Reads -------------------------------------------------------------------------------------------
 
--- a/moleworks/registry/prober.py
+++ b/moleworks/registry/prober.py
@@ -50,7 +50,7 @@
         try:
             while True:
                 held = await self._holder.acquire()
-                keeping = asyncio.create_task(self._holder.keep())
+                keeping = asyncio.create_task(self._holder.renew_until_lost())
                 probing = asyncio.create_task(self._probe(held.token))
                 tasks: tuple[asyncio.Task[Any], ...] = (keeping, probing, listening)
                 done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/moleworks/registry/service.py
+++ b/moleworks/registry/service.py
@@ -44,7 +44,7 @@
 
     def __init__(self, client: Client, name: str, limits: Limits, changed: Callable[[], None]) -> None:
         self._client, self.name, self._limits = client, name, limits
-        self._own = client.twin()           # for heartbeats and the duty: no writer's call stands before them
+        self._own = client.clone()           # for heartbeats and the duty: no writer's call stands before them
         self._changed = changed
         self.mirror = Mirror()
         self._here = 0                      # the revision up to which the store's watch has told all
@@ -72,12 +72,12 @@
         """All records, then every change; all of them again where the store has forgotten some, or was restored."""
         while True:
             try:
-                async with self._client.twin() as client:
+                async with self._client.clone() as client:
                     hosts, first, last = await self._read(client)
                     begun = first == last
                     if begun:
                         self._begin(hosts, last)
-                    async for events, here in client.watch_all(PREFIX, first):
+                    async for events, here in client.watch_batches(PREFIX, first):
                         if begun:
                             self._apply(events, here)
                             continue
@@ -145,7 +145,7 @@
 
     async def _ask(self) -> None:
         """How far the store is: the mirror is as new as this was sent, once it has come so far."""
-        async with self._client.twin() as client:
+        async with self._client.clone() as client:
             while True:
                 sent = time.monotonic_ns()
                 try:
@@ -191,7 +191,7 @@
         while True:
             held = await holder.acquire()
             self._expiry = Expiry(time.monotonic_ns(), self.mirror.hosts, self._limits)
-            keeping = asyncio.create_task(holder.keep())
+            keeping = asyncio.create_task(holder.renew_until_lost())
             try:
                 while not keeping.done():
                     await asyncio.sleep(0.5)
--- a/moleworks/rig/real/keeper.py
+++ b/moleworks/rig/real/keeper.py
@@ -67,10 +67,10 @@
             async with self._client(1.5) as client:
                 holder = Holder(client, DUTY, self._name, self._ttl)
                 held = await holder.acquire()
-                self._writer.add(Granted(self._clock.now(), self._name, held.token, self._at(held.until)))
+                self._writer.add(Granted(self._clock.now(), self._name, held.token, self._at(held.expires_at)))
                 self._writer.flush()
                 report("holds", token=held.token)
-                keeping = asyncio.create_task(holder.keep(lambda: self._over or bool(self._to)))
+                keeping = asyncio.create_task(holder.renew_until_lost(lambda: self._over or bool(self._to)))
                 try:
                     why = await self._work(holder, keeping)
                 finally:
@@ -98,7 +98,7 @@
                 return "out"
             if self._rng.random() < self._tires:
                 return "tired"
-            await self._act(held.token, held.until, False)
+            await self._act(held.token, held.expires_at, False)
         return "over"
 
     async def _act(self, token: int, until: int, late: bool) -> None:
--- a/moleworks/rig/real/members.py
+++ b/moleworks/rig/real/members.py
@@ -173,7 +173,7 @@
             return
         async with Client({name: self.at[name] for name in self.all if name in self.processes}, "rig", 8.0) as client:
             last = (await client.list("reg/", 0)).revision
-            async for events, here in client.watch_all("reg/hosts/", 0):
+            async for events, here in client.watch_batches("reg/hosts/", 0):
                 for event in events:
                     row = None if event.value is None else msgspec.json.decode(event.value)["row"]
                     self.writer.add(Truth(self.clock.now(), event.revision, event.key.removeprefix("reg/hosts/"),
--- a/moleworks/rig/virtual/callers.py
+++ b/moleworks/rig/virtual/callers.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from moleworks.duties.held import Held
-from moleworks.store.replica import Elsewhere
+from moleworks.store.replica import Redirect
 from moleworks.store.state import (
     Acquire,
     Change,
@@ -101,7 +101,7 @@
         """An answer has come."""
         if call != self._call or tries != self._tries or self._then is None:
             return
-        if isinstance(result, Elsewhere):
+        if isinstance(result, Redirect):
             self._target = result.leader if result.leader and self.rng.random() < 0.9 else self.rng.choice(
                 self.cluster.names)
             self._tries += 1   # a late answer to the try before counts no more
@@ -220,7 +220,7 @@
     def _renewed(self, result: Result | None) -> None:
         if self.held is not None and result is not None:
             if result.done:
-                self.held.renewed(self._sent)
+                self.held.on_renewed(self._sent)
             else:
                 self._let_go()
         self._stop_if_out()
@@ -243,5 +243,5 @@
         """It believed to hold the duty until its lease was out, or until now if that came first."""
         held, self.held = self.held, None
         if held is not None:
-            until = min(self.cluster.loop.now, int(held.until / self.rate))
+            until = min(self.cluster.loop.now, int(held.expires_at / self.rate))
             self.cluster.holdings.append(Holding(DUTY, self.name, held.token, self._since, max(self._since, until)))
--- a/moleworks/rig/virtual/explore.py
+++ b/moleworks/rig/virtual/explore.py
@@ -96,7 +96,7 @@
             write, self.writes[name] = self.writes[name], None
             assert write is not None
             sync(self.disks[name], write)
-            core.written(0, write)
+            core.on_written(0, write)
         elif kind == "deliver":
             queue = self.links[name, action[2]]
             message = queue.pop(0)
@@ -110,14 +110,14 @@
         elif kind == "timeout":
             self.left[0] -= 1
             for other in self.cores.values():
-                other._heard = LONG_AGO   # time passes for all: who asks now may be answered
+                other._leader_contact_at = LONG_AGO   # time passes for all: who asks now may be answered
             core.tick(0)
         elif kind == "crash":
             self.left[2] -= 1
             self.writes[name] = None
             disk = self.disks[name]
             fresh = type(core)(name, disk.log(), disk.term, disk.vote, _Even(), 0)   # type: ignore[arg-type]
-            fresh._heard = LONG_AGO
+            fresh._leader_contact_at = LONG_AGO
             self.cores[name] = fresh
         else:
             self.left[3] -= 1
@@ -127,7 +127,7 @@
 
     def _drain(self, name: str) -> None:
         core = self.cores[name]
-        out = core.take()
+        out = core.take_output()
         if out.write is not None:
             self.writes[name] = out.write
         for to, message in out.send:
@@ -160,8 +160,9 @@
             peers = tuple((peer.next, peer.match, peer.probing, peer.inflight, peer.round)
                           for peer in core._peers.values()) if core.role == LEADER else ()
             votes = tuple(sorted(core._votes.items())) if core.role in (CANDIDATE, "pre-candidate") else ()
-            cores.append((core.role, core.leader, core.term, core.vote, core.commit, core._durable, core._saved,
-                          core._heard < 0, core._round if peers else 0, peers, votes, tuple(core._kept),
+            cores.append((core.role, core.leader, core.term, core.vote, core.commit, core._durable, core._durable_vote,
+                          core._leader_contact_at < 0, core._round if peers else 0, peers, votes,
+                          tuple(core._send_after_write),
                           tuple((entry.term, entry.data) for entry in core.log._entries)))
         disks = tuple((disk.term, disk.vote, tuple((entry.index, entry.term) for entry in disk.entries.values()))
                       for disk in self.disks.values())
--- a/moleworks/rig/virtual/gossip.py
+++ b/moleworks/rig/virtual/gossip.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 
 from moleworks.gossip.core import Core
-from moleworks.gossip.messages import ALIVE, DEAD, Ask, Message, Rumor, Vector, pack, unpack
-from moleworks.gossip.values import NEVER
+from moleworks.gossip.messages import ALIVE, DEAD, Digest, DigestRequest, Message, Rumor, pack, unpack
+from moleworks.gossip.values import NEVER_NS
 
 from .loop import Links, Loop
 
@@ -82,7 +82,7 @@
             fleet.loop.at(self.stopped_until, self._ring, life)
             return
         self.core.tick(self.now())
-        wait = max(MS, int((self.core.due - self.now()) / self.rate))
+        wait = max(MS, int((self.core.next_tick_at - self.now()) / self.rate))
         fleet.loop.at(fleet.loop.now + wait, self._ring, life)
 
     def _send(self, address: str, message: Message) -> None:
@@ -293,27 +293,27 @@
 class _AgesOfNow(Core):
     """A vector says that all it holds is of now: ages are not carried on."""
 
-    def _answer(self, now: int, address: str, ask: Ask) -> None:
+    def _on_digest_request(self, now: int, address: str, ask: DigestRequest) -> None:
         for owner in self.values.owners.values():
-            owner.fresh = max(owner.fresh, now) if owner.fresh != NEVER else NEVER
-        super()._answer(now, address, ask)
+            owner.fresh = max(owner.fresh, now) if owner.fresh != NEVER_NS else NEVER_NS
+        super()._on_digest_request(now, address, ask)
 
 
 class _AgesFromTheAnswer(Core):
     """An age counts from when the answer came."""
 
-    def _on_vector(self, now: int, address: str, vector: Vector) -> None:
-        asked = self._asked.get(vector.number)
+    def _on_digest(self, now: int, address: str, vector: Digest) -> None:
+        asked = self._digest_requests.get(vector.number)
         if asked is not None:
             asked.at = now
-        super()._on_vector(now, address, vector)
+        super()._on_digest(now, address, vector)
 
 
 class _NeverRefutes(Core):
     """A member says nothing to what is said of it."""
 
-    def _hear(self, now: int, rumors: tuple[Rumor, ...]) -> None:
-        super()._hear(now, tuple(rumor for rumor in rumors if rumor.name != self.name))
+    def _apply_rumors(self, now: int, rumors: tuple[Rumor, ...]) -> None:
+        super()._apply_rumors(now, tuple(rumor for rumor in rumors if rumor.name != self.name))
 
 
 MUTANTS: dict[str, type[Core]] = {"age not carried on": _AgesOfNow, "age counted from the answer": _AgesFromTheAnswer,
--- a/moleworks/rig/virtual/members.py
+++ b/moleworks/rig/virtual/members.py
@@ -96,7 +96,7 @@
         if terms != sorted(terms):
             cluster.broken.append(f"{self.name}'s disk holds terms that fall")
         core = cluster.parts.core(self.name, log, self.disk.term, self.disk.vote, rng, self.now(), cluster.timers)
-        state = cluster.parts.state.restored(self.disk.snapshot.data)
+        state = cluster.parts.state.from_image(self.disk.snapshot.data)
         self.replica = Replica(core, state, self.now(), cluster.settings.compact_entries, cluster.parts.granter)
         self.pump()
 
@@ -145,7 +145,7 @@
         core = self.replica.core
         if core.role == LEADER:
             cluster.leads(core.term, self.name)
-        due = core.due
+        due = core.next_tick_at
         if due != self._due:
             self._due = due
             wait = max(0, int((due - self.now()) / self.rate)) + 1
@@ -174,7 +174,7 @@
             self._cluster.loop.at(self.stopped_until, self._synced, life, write)
             return
         cluster.parts.sync(self.disk, write)
-        self.replica.core.written(self.now(), write)
+        self.replica.core.on_written(self.now(), write)
         self.pump()
         if cluster.fragile(moved):   # it has just said so
             self.crash()
--- a/moleworks/rig/virtual/mutants.py
+++ b/moleworks/rig/virtual/mutants.py
@@ -33,14 +33,14 @@
 class PromisesEarly(Core):
     """Votes and entries are confirmed before they are on disk."""
 
-    def _promise(self, to: str, message: Message) -> None:
+    def _send_when_durable(self, to: str, message: Message) -> None:
         self._out.send.append((to, message))
 
 
 class ReadsStale(Core):
     """A leader answers reads without asking whether it still leads."""
 
-    def _ask_round(self, whose: Any) -> None:
+    def _queue_read(self, whose: Any) -> None:
         self._out.reads.append((whose, self.commit))
 
 
@@ -51,18 +51,18 @@
         if self.role != "leader":
             return None
         self._append(Entry(self.log.last_index + 1, self.term, b"", config))
-        self._spread()
+        self._replicate()
         return self.log.last_index
 
 
 class CountsItselfTwice(Core):
     """A candidate is content with half of the votes."""
 
-    def _count(self) -> None:
+    def _count_votes(self) -> None:
         self._votes = {**self._votes, **dict.fromkeys(list(self._votes)[:1], True)}
         if self.role != "leader" and sum(self._votes.values()) >= len(self.config.voters) // 2:
             self._votes.update(dict.fromkeys(self.config.voters, True))
-        super()._count()
+        super()._count_votes()
 
 
 def _forgets_vote(disk: Disk, write: Write) -> None:
@@ -98,7 +98,7 @@
 class ChecksNoToken(State):
     """A guarded change counts whatever its token."""
 
-    def _guarded(self, guard: Guard) -> bool:
+    def _token_is_current(self, guard: Guard) -> bool:
         return True
 
 
@@ -117,8 +117,8 @@
     def __init__(self, duty: str, token: int, ttl_ms: int, sent: int) -> None:
         super().__init__(duty, token, ttl_ms, sent + 500_000_000)
 
-    def renewed(self, sent: int) -> None:
-        super().renewed(sent + 500_000_000)
+    def on_renewed(self, sent: int) -> None:
+        super().on_renewed(sent + 500_000_000)
 
 
 class ExpiresEarly(Granter):
@@ -142,8 +142,8 @@
 class LosesConfig(Core):
     """A snapshot that a leader sent brings the members as they were at first."""
 
-    def _install(self, snapshot: Snapshot) -> None:
-        super()._install(Snapshot(snapshot.index, snapshot.term, Config(("m0", "m1", "m2")), snapshot.data))
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        super()._install_snapshot(Snapshot(snapshot.index, snapshot.term, Config(("m0", "m1", "m2")), snapshot.data))
 
 
 MUTANTS: dict[str, Parts] = {
--- a/moleworks/store/backup.py
+++ b/moleworks/store/backup.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from .core import Write
-from .disk import Damaged, Disk
+from .disk import CorruptStore, Disk
 from .log import Snapshot
 from .messages import Config
 from .state import State
@@ -36,7 +36,7 @@
 
 
 def write(path: Path, cluster: str, image: bytes) -> Head:
-    """Raises Damaged where the image can't be read, OSError."""
+    """Raises CorruptStore where the image can't be read, OSError."""
     state = _state(str(path), image)
     head = Head(cluster, state.revision, len(state.records), xxhash.xxh3_64_intdigest(image))
     told = msgspec.msgpack.encode(head)
@@ -59,37 +59,37 @@
 
 
 def read(path: Path) -> tuple[Head, State]:
-    """Raises Damaged, OSError."""
+    """Raises CorruptStore, OSError."""
     data = path.read_bytes()
     if not data.startswith(MAGIC):
-        raise Damaged(f"{path}: is no backup of a store, or of another version")
+        raise CorruptStore(f"{path}: is no backup of a store, or of another version")
     at = len(MAGIC) + 4
     length = int.from_bytes(data[at - 4:at], "big")
     try:
         head: Head = msgspec.msgpack.decode(data[at:at + length], type=Head)
     except msgspec.DecodeError as error:
-        raise Damaged(f"{path}: its head can't be read: {error}") from None
+        raise CorruptStore(f"{path}: its head can't be read: {error}") from None
     image = data[at + length:]
     if xxhash.xxh3_64_intdigest(image) != head.checksum:
-        raise Damaged(f"{path}: does not fit its checksum")
+        raise CorruptStore(f"{path}: does not fit its checksum")
     return head, _state(str(path), image)
 
 
 def _state(path: str, image: bytes) -> State:
     try:
-        return State.restored(image)
+        return State.from_image(image)
     except msgspec.DecodeError as error:
-        raise Damaged(f"{path}: the image can't be read: {error}") from None
+        raise CorruptStore(f"{path}: the image can't be read: {error}") from None
 
 
 def restore(path: Path, folder: Path, cluster: str, name: str) -> Head:
-    """The disk of a new cluster's one member; others join it.  Raises Damaged, OSError.
+    """The disk of a new cluster's one member; others join it.  Raises CorruptStore, OSError.
 
     Where members listened belongs to the old cluster and is left out.
     """
     head, state = read(path)
     if (folder / "store.db").exists():
-        raise Damaged(f"{folder}: holds a store already")
+        raise CorruptStore(f"{folder}: holds a store already")
     state.anew(1 + secrets.randbelow(1000))
     state.records = {key: record for key, record in state.records.items() if not key.startswith(MEMBERS)}
     disk = Disk(folder, cluster, name)
@@ -103,7 +103,7 @@
 def from_disk(folder: Path, cluster: str, name: str) -> bytes:
     """The image of a member that does not run, where no majority is left: all of its log counts.
 
-    What was never acknowledged may be in it.  Raises Damaged, OSError.
+    What was never acknowledged may be in it.  Raises CorruptStore, OSError.
     """
     disk = Disk(folder, cluster, name, create=False)
     try:
--- a/moleworks/store/client.py
+++ b/moleworks/store/client.py
@@ -73,11 +73,11 @@
         self._lock = asyncio.Lock()
         self._connecting = asyncio.Lock()
 
-    def twin(self) -> Client:
+    def clone(self) -> Client:
         """Another client of the same members, with a session and connections of its own."""
-        twin = Client(self._names or self._addresses, "", self._timeout_s)
-        twin._cluster = self._cluster
-        return twin
+        clone = Client(self._names or self._addresses, "", self._timeout_s)
+        clone._cluster = self._cluster
+        return clone
 
     async def __aenter__(self) -> Client:
         return self
@@ -291,12 +291,12 @@
         await asyncio.sleep(random.uniform(0.05, 0.3))
 
     async def watch(self, prefix: str, after: int) -> AsyncIterator[Event]:
-        """Changes after a revision, one by one; see `watch_all`."""
-        async for events, _ in self.watch_all(prefix, after):
+        """Changes after a revision, one by one; see `watch_batches`."""
+        async for events, _ in self.watch_batches(prefix, after):
             for event in events:
                 yield event
 
-    async def watch_all(self, prefix: str, after: int) -> AsyncIterator[tuple[Sequence[Event], int]]:
+    async def watch_batches(self, prefix: str, after: int) -> AsyncIterator[tuple[Sequence[Event], int]]:
         """Changes after a revision, without gap or repeat, whichever member tells them; up to which one that is all.
 
         Changes of one revision come together.  Raises Refused where the revision is compacted: list anew, and watch
--- a/moleworks/store/core.py
+++ b/moleworks/store/core.py
@@ -3,8 +3,8 @@
 With pre-vote, check-quorum, leader transfer, reads without a write (read index), members changed one at a time with
 learners, and snapshots sent in pieces.
 
-The caller hands in every event with its own monotonic `now` (ns), then empties `take()`: it writes what is to be
-written, and calls `written` once that is on disk.  Whatever promises something on behalf of the disk is kept back
+The caller hands in every event with its own monotonic `now` (ns), then empties `take_output()`: it writes what is to be
+written, and calls `on_written` once that is on disk.  Whatever promises something on behalf of the disk is kept back
 until then.  While a write is under way more may gather for the next one (group commit).
 """
 
@@ -46,7 +46,7 @@
 
 
 class Write(Struct):
-    """To be put on disk, all of it or none, then `written(number)`."""
+    """To be put on disk, all of it or none, then `on_written(number)`."""
 
     number: int
     term: int
@@ -100,16 +100,16 @@
         self.applied = log.snapshot.index
         self.config, self._config_index = log.config()
         self._durable = log.last_index        # of the log, on this disk
-        self._saved = (term, vote)
+        self._durable_vote = (term, vote)
         self._write = Write(0, term, vote)
         self._dirty = False
         self._writing = 0
         self._numbers = 0
-        self._kept: list[tuple[str, Message]] = []      # to be sent once the next write is on disk
+        self._send_after_write: list[tuple[str, Message]] = []      # to be sent once the next write is on disk
         self._after: list[tuple[str, Message]] = []     # and once the one under way is
         self._out = Output()
         self._now = now
-        self._heard = now                     # from a leader, or a vote given
+        self._leader_contact_at = now                     # from a leader, or a vote given
         self._votes: dict[str, bool] = {}
         self._peers: dict[str, _Peer] = {}
         self._round = 0
@@ -128,9 +128,9 @@
         self._patience = int(self._timers.election * self._rng.uniform(1.0, 2.0))
 
     @property
-    def due(self) -> int:
+    def next_tick_at(self) -> int:
         """When `tick` is wanted next."""
-        return self._beat_at if self.role == LEADER else self._heard + self._patience
+        return self._beat_at if self.role == LEADER else self._leader_contact_at + self._patience
 
     def tick(self, now: int) -> None:
         """Time has passed."""
@@ -138,8 +138,8 @@
         if self.role == LEADER:
             if now >= self._beat_at:
                 self._beat()
-        elif now >= self._heard + self._patience:
-            self._heard, self.leader = now, ""   # who doesn't stand itself must not keep others from it either
+        elif now >= self._leader_contact_at + self._patience:
+            self._leader_contact_at, self.leader = now, ""   # who doesn't stand must not keep others from it either
             self._draw()
             if self._may_stand():
                 self._stand(True)
@@ -173,7 +173,7 @@
         if self.role == LEADER:
             self._out.lost += [whose for whose, _, _ in self._reads] + self._early
             self._reads, self._early = [], []
-            self._heard = self._now
+            self._leader_contact_at = self._now
             self._draw()
         if term > self.term:
             self.term, self.vote = term, ""
@@ -194,16 +194,16 @@
                 if pre:
                     self._out.send.append((name, ask))
                 else:
-                    self._promise(name, ask)   # the vote for oneself must be on disk as well
-        self._count()
+                    self._send_when_durable(name, ask)   # the vote for oneself must be on disk as well
+        self._count_votes()
 
-    def _count(self) -> None:
+    def _count_votes(self) -> None:
         votes = sum(self._votes.get(name, False) for name in self.config.voters)
         if votes <= len(self.config.voters) // 2:
             return
         if self.role == PRE:
             self._stand(False)
-        elif self.role == CANDIDATE and self._saved == (self.term, self.name):
+        elif self.role == CANDIDATE and self._durable_vote == (self.term, self.name):
             self._lead()
 
     def _lead(self) -> None:
@@ -229,7 +229,7 @@
         if self.role != LEADER or self._transfer or self.log.last_index - self.commit >= self._timers.pending:
             return None
         self._append(Entry(self.log.last_index + 1, self.term, data))
-        self._spread()
+        self._replicate()
         return self.log.last_index
 
     def reconfigure(self, now: int, config: Config) -> int | None:
@@ -241,7 +241,7 @@
         if len(set(config.voters) ^ set(self.config.voters)) > 1 or set(config.voters) & set(config.learners):
             return None
         self._append(Entry(self.log.last_index + 1, self.term, b"", config))
-        self._spread()
+        self._replicate()
         return self.log.last_index
 
     def caught_up(self, name: str) -> bool:
@@ -257,10 +257,10 @@
         if self.log.term(self.commit) != self.term:
             self._early.append(whose)
             return True
-        self._ask_round(whose)
+        self._queue_read(whose)
         return True
 
-    def _ask_round(self, whose: Any) -> None:
+    def _queue_read(self, whose: Any) -> None:
         """The commit index now, valid once a majority has answered a heartbeat that is sent from now on."""
         fresh = not self._reads or self._reads[-1][2] != self._round + 1
         self._reads.append((whose, self.commit, self._round + 1))
@@ -309,14 +309,14 @@
 
     def _cut(self, index: int) -> None:
         """A leader has other entries from here on."""
-        self.log.cut(index)
+        self.log.truncate(index)
         self._write.cut = min(self._write.cut or index, index)
         self._write.entries = [entry for entry in self._write.entries if entry.index < index]
         self._durable = min(self._durable, index - 1)
         self._dirty = True
         self._take_config()
 
-    def _spread(self) -> None:
+    def _replicate(self) -> None:
         for name, peer in self._peers.items():
             self._send_append(name, peer, False)
 
@@ -357,9 +357,9 @@
         if index > self.commit and self._may_commit(index):
             self._commit(index)
             for whose in self._early:
-                self._ask_round(whose)
+                self._queue_read(whose)
             self._early = []
-            self._spread()
+            self._replicate()
 
     def _may_commit(self, index: int) -> bool:
         return self.log.term(index) == self.term
@@ -415,7 +415,7 @@
 
     def _on_ask(self, source: str, ask: Ask) -> None:
         """A vote, or whether there would be one.  While a leader is heard of, only that leader may wish one."""
-        steady = self._now - self._heard < self._timers.election and bool(self.leader)
+        steady = self._now - self._leader_contact_at < self._timers.election and bool(self.leader)
         if self.role == LEADER:
             steady = True
         if ask.term < self.term or (steady and not ask.transfer):
@@ -432,8 +432,8 @@
             if self.vote != source:
                 self.vote = source
                 self._dirty = True
-            self._heard = self._now
-        self._promise(source, Vote(self.term, granted))
+            self._leader_contact_at = self._now
+        self._send_when_durable(source, Vote(self.term, granted))
 
     def _up_to_date(self, ask: Ask) -> bool:
         return (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last_index)
@@ -442,17 +442,17 @@
         wanted = self.term + 1 if vote.pre else self.term
         if self.role == (PRE if vote.pre else CANDIDATE) and vote.term == wanted and vote.granted:
             self._votes[source] = True
-            self._count()
+            self._count_votes()
 
     def _from_leader(self, source: str) -> None:
-        self._heard = self._now
+        self._leader_contact_at = self._now
         if self.role != FOLLOWER or self.leader != source:
             self._follow(self.term, source)
 
     def _on_append(self, source: str, message: Append) -> None:
         log = self.log
         if message.prev_index < log.snapshot.index:
-            self._promise(source, Appended(self.term, True, log.snapshot.index, message.round))
+            self._send_when_durable(source, Appended(self.term, True, log.snapshot.index, message.round))
             return
         if log.term(message.prev_index) != message.prev_term:
             hint = min(log.last_index, message.prev_index - 1)
@@ -470,7 +470,7 @@
         match = message.prev_index + len(message.entries)
         if message.commit > self.commit:
             self._commit(min(message.commit, match))
-        self._promise(source, Appended(self.term, True, match, message.round))
+        self._send_when_durable(source, Appended(self.term, True, match, message.round))
 
     def _on_appended(self, source: str, peer: _Peer, message: Appended) -> None:
         peer.round = max(peer.round, message.round)
@@ -494,7 +494,7 @@
 
     def _on_piece(self, source: str, piece: Piece) -> None:
         if piece.index <= self.commit:
-            self._promise(source, Appended(self.term, True, self.commit, piece.round))
+            self._send_when_durable(source, Appended(self.term, True, self.commit, piece.round))
             return
         if self._partial is None or self._partial[:2] != (piece.index, piece.index_term):
             self._partial = (piece.index, piece.index_term, bytearray())
@@ -502,12 +502,12 @@
         if piece.offset == len(got):
             got += piece.data
             if piece.last:
-                self._install(Snapshot(piece.index, piece.index_term, piece.config, bytes(got)))
-                self._promise(source, Appended(self.term, True, piece.index, piece.round))
+                self._install_snapshot(Snapshot(piece.index, piece.index_term, piece.config, bytes(got)))
+                self._send_when_durable(source, Appended(self.term, True, piece.index, piece.round))
                 return
         self._out.send.append((source, Taken(self.term, piece.index, len(got), piece.round)))
 
-    def _install(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         """A leader's snapshot takes the place of what this member has."""
         self._partial = None
         if self.log.term(snapshot.index) != snapshot.term:
@@ -532,34 +532,34 @@
 
     # ---- Output -----------------------------------------------------------------------------------------
 
-    def _promise(self, to: str, message: Message) -> None:
+    def _send_when_durable(self, to: str, message: Message) -> None:
         """Send once all that was decided up to now is on disk."""
-        self._kept.append((to, message))
+        self._send_after_write.append((to, message))
 
-    def take(self) -> Output:
+    def take_output(self) -> Output:
         """What is to be done now.  One write is under way at a time; more gathers for the next."""
         out, self._out = self._out, Output()
         if not self._writing:
-            if self._dirty or self._saved != (self.term, self.vote):
+            if self._dirty or self._durable_vote != (self.term, self.vote):
                 self._numbers += 1
                 write = self._write
                 write.number, write.term, write.vote = self._numbers, self.term, self.vote
                 self._writing = self._numbers
-                self._after, self._kept = self._kept, []
+                self._after, self._send_after_write = self._send_after_write, []
                 self._write = Write(0, self.term, self.vote)
                 self._dirty = False
                 out.write = write
             else:
-                out.send += self._kept
-                self._kept = []
+                out.send += self._send_after_write
+                self._send_after_write = []
         return out
 
-    def written(self, now: int, write: Write) -> None:
+    def on_written(self, now: int, write: Write) -> None:
         """That write is on disk: what was promised on its behalf may go."""
         self._now = max(self._now, now)
         kept, self._after = self._after, []
         self._writing = 0
-        self._saved = (write.term, write.vote)
+        self._durable_vote = (write.term, write.vote)
         if write.snapshot is not None:
             self._durable = max(self._durable, write.snapshot.index)
         for entry in write.entries:   # what was cut meanwhile is not the log's any more
@@ -567,7 +567,7 @@
                 self._durable = max(self._durable, entry.index)
         self._out.send += [(to, message) for to, message in kept if message.term == self.term]
         if self.role == CANDIDATE:
-            self._count()
+            self._count_votes()
         elif self.role == LEADER:
             self._advance()
 
--- a/moleworks/store/disk.py
+++ b/moleworks/store/disk.py
@@ -28,7 +28,7 @@
 """A snapshot is kept in rows of so many bytes."""
 
 
-class Damaged(Exception):
+class CorruptStore(Exception):
     """The file is not what this member wrote; it must not serve from it."""
 
 
@@ -70,7 +70,8 @@
     """One file.  Calls block: a member makes them in a thread of their own."""
 
     def __init__(self, folder: Path, cluster: str, member: str, create: bool = True) -> None:
-        """Raises Damaged where the file is another's or does not fit its checksums, OSError where there is none."""
+        """Raises CorruptStore where the file is another's or does not fit its checksums, OSError where there is
+        none."""
         self.path = folder / "store.db"
         if create:
             folder.mkdir(parents=True, exist_ok=True)
@@ -84,7 +85,7 @@
             self._db.executescript(SCHEMA)
             self.identity = self._identify(cluster, member)
         except sqlite3.Error as error:
-            raise Damaged(f"{self.path}: {error}") from None
+            raise CorruptStore(f"{self.path}: {error}") from None
 
     def _identify(self, cluster: str, member: str) -> Identity:
         body = self._meta("identity")
@@ -93,9 +94,9 @@
         else:
             old: Identity = msgspec.msgpack.decode(body, type=Identity)
             if old.format > FORMAT:
-                raise Damaged(f"{self.path}: is of a newer version, {old.format}")
+                raise CorruptStore(f"{self.path}: is of a newer version, {old.format}")
             if (old.cluster, old.member) != (cluster, member):
-                raise Damaged(f"{self.path}: is {old.member}'s of {old.cluster}, not {member}'s of {cluster}")
+                raise CorruptStore(f"{self.path}: is {old.member}'s of {old.cluster}, not {member}'s of {cluster}")
             identity = msgspec.structs.replace(old, boot=old.boot + 1, life=secrets.token_hex(4), before=old.life)
         with self._transaction():
             self._put("identity", _ENCODE(identity))
@@ -114,19 +115,19 @@
         if row is None:
             return None
         if _checksum(name, row[0]) != row[1]:
-            raise Damaged(f"{self.path}: {name} does not fit its checksum")
+            raise CorruptStore(f"{self.path}: {name} does not fit its checksum")
         body: bytes = row[0]
         return body
 
     def load(self, first: Config) -> tuple[Log, int, str]:
-        """Log, term and vote; an empty disk begins with these members.  Raises Damaged."""
+        """Log, term and vote; an empty disk begins with these members.  Raises CorruptStore."""
         try:
             vote = self._meta("vote")
             term, whom = (0, "") if vote is None else msgspec.structs.astuple(msgspec.msgpack.decode(vote, type=_Vote))
             snapshot = self._snapshot() or Snapshot(0, 0, first, b"")
             return Log(snapshot, list(self._entries(snapshot.index))), term, whom
         except (sqlite3.Error, msgspec.DecodeError) as error:
-            raise Damaged(f"{self.path}: {error}") from None
+            raise CorruptStore(f"{self.path}: {error}") from None
 
     def _snapshot(self) -> Snapshot | None:
         body = self._meta("snapshot")
@@ -135,7 +136,7 @@
         head: _Head = msgspec.msgpack.decode(body, type=_Head)
         pieces = [self._meta(f"snapshot {head.index} {number}") for number in range(head.pieces)]
         if None in pieces:
-            raise Damaged(f"{self.path}: a piece of snapshot {head.index} is missing")
+            raise CorruptStore(f"{self.path}: a piece of snapshot {head.index} is missing")
         return Snapshot(head.index, head.term, head.config, b"".join(piece for piece in pieces if piece is not None))
 
     def _entries(self, after: int) -> Iterator[Entry]:
@@ -143,9 +144,9 @@
         for index, body, checksum in self._db.execute(
                 "select idx, body, checksum from log where idx > ? order by idx", (after,)):
             if index != expected:
-                raise Damaged(f"{self.path}: entry {expected} is missing")
+                raise CorruptStore(f"{self.path}: entry {expected} is missing")
             if _checksum(f"entry {index}", body) != checksum:
-                raise Damaged(f"{self.path}: entry {index} does not fit its checksum")
+                raise CorruptStore(f"{self.path}: entry {index} does not fit its checksum")
             yield _ENTRY.decode(body)
             expected += 1
 
@@ -155,7 +156,7 @@
             self._put(f"met {member}", met)
 
     def met(self) -> dict[str, bytes]:
-        """Everybody it has met.  Raises Damaged."""
+        """Everybody it has met.  Raises CorruptStore."""
         rows = self._db.execute("select name from meta where name like 'met %'").fetchall()
         return {name.removeprefix("met "): self._meta(name) or b"" for (name,) in rows}
 
--- a/moleworks/store/grants.py
+++ b/moleworks/store/grants.py
@@ -8,7 +8,7 @@
 
 from .state import Expire, State
 
-GRANTER = 1.03
+GRANT_TIMEOUT_FACTOR = 1.03
 """A granter waits so many times the lease: a clock that is 1 in 100 slow against one as much fast leaves room."""
 
 
@@ -26,7 +26,7 @@
         elif self._seen.get(duty, (0, 0, 0))[:2] != (grant.token, grant.renewals):
             self._seen[duty] = (grant.token, grant.renewals, now)
 
-    def anew(self, now: int, state: State) -> None:
+    def restart_timers(self, now: int, state: State) -> None:
         """The state came from a snapshot, or this member leads from now on: nothing is known of what was before."""
         self._seen = {duty: (grant.token, grant.renewals, now) for duty, grant in state.grants.items()}
 
@@ -35,6 +35,6 @@
         found = []
         for duty, (token, renewals, since) in self._seen.items():
             grant = state.grants.get(duty)
-            if grant is not None and now - since > grant.ttl_ms * 1e6 * GRANTER:
+            if grant is not None and now - since > grant.ttl_ms * 1e6 * GRANT_TIMEOUT_FACTOR:
                 found.append(Expire(duty, token, renewals))
         return found
--- a/moleworks/store/known.py
+++ b/moleworks/store/identity.py
@@ -8,7 +8,7 @@
 """Names that are remembered; those of members that left stay, as no other disk may ever take them."""
 
 
-def doubt(known: Hello | None, hello: Hello) -> str:
+def rejection_reason(known: Hello | None, hello: Hello) -> str:
     """Why this member must not be heard; empty where nothing is known against it.
 
     A disk counts its starts and draws a word at each.  One that was put back to an earlier time has a lower count, or
--- a/moleworks/store/log.py
+++ b/moleworks/store/log.py
@@ -60,7 +60,7 @@
         """One more at the end."""
         self._entries.append(entry)
 
-    def cut(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         """Drop this entry and all that follow."""
         del self._entries[index - self.snapshot.index - 1:]
 
--- a/moleworks/store/member.py
+++ b/moleworks/store/member.py
@@ -20,9 +20,9 @@
 
 from moleworks import logs, wire
 
-from . import known
+from . import identity
 from .core import Core, Write
-from .disk import Damaged, Disk
+from .disk import CorruptStore, Disk
 from .messages import Config
 from .protocol import (
     ENCODE,
@@ -44,7 +44,7 @@
     Watch,
     WatchDuty,
 )
-from .replica import Elsewhere, Replica
+from .replica import Redirect, Replica
 from .state import Change, Event, Grant, Open, Put, Result, State
 
 log = logs.get("store")
@@ -66,7 +66,7 @@
 """A backup that asks for no piece for so long has been given up."""
 
 
-class Stopped(Exception):
+class MemberStopped(Exception):
     """This member can't go on; its line says why."""
 
 
@@ -152,7 +152,7 @@
                  peers: dict[str, tuple[str, int]], first: tuple[str, ...]) -> None:
         """`peers`: where others are reached; `first`: the first members, none where others will add this one.
 
-        Raises Damaged.
+        Raises CorruptStore.
         """
         self.name, self.listen = name, listen
         self.cluster = wire.cluster_id(cluster)
@@ -162,13 +162,13 @@
         identity = self.disk.identity
         self.hello = Hello(name, "{}:{}".format(*listen), identity.disk, identity.boot, identity.life, identity.before)
         core = Core(name, loaded, term, vote, random.Random(), time.monotonic_ns())
-        self.replica = Replica(core, State.restored(loaded.snapshot.data), time.monotonic_ns())
+        self.replica = Replica(core, State.from_image(loaded.snapshot.data), time.monotonic_ns())
         self._outs: dict[str, _Out] = {}
         try:
             self._known: dict[str, Hello] = {other: msgspec.msgpack.decode(met, type=Hello)
                                               for other, met in self.disk.met().items()}
         except (sqlite3.Error, msgspec.DecodeError) as error:
-            raise Damaged(f"{self.disk.path}: {error}") from None
+            raise CorruptStore(f"{self.disk.path}: {error}") from None
         self._image: tuple[str, bytes, float] = ("", b"", 0.0)
         self._refused: dict[str, str] = {}
         self._clients: set[_Client] = set()
@@ -181,7 +181,7 @@
     # ---- Running ----------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Until it is stopped.  Raises Stopped with the reason."""
+        """Until it is stopped.  Raises MemberStopped with the reason."""
         self._loop = asyncio.get_running_loop()
         self._end: asyncio.Future[str] = self._loop.create_future()
         server = await asyncio.start_server(self._serve, *self.listen, limit=2 * wire.MAX_FRAME)
@@ -195,7 +195,7 @@
         beats = asyncio.create_task(self._beat())
         self._tasks.add(beats)
         try:
-            raise Stopped(await self._end)
+            raise MemberStopped(await self._end)
         finally:
             server.close()
             for task in [*self._tasks, *(out.task for out in self._outs.values())]:
@@ -254,7 +254,7 @@
             log.info("store_role", member=self.name, role=core.role, leader=core.leader, term=core.term)
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_later(max(0, core.due - time.monotonic_ns()) / 1e9, self._tick)
+        self._timer = self._loop.call_later(max(0, core.next_tick_at - time.monotonic_ns()) / 1e9, self._tick)
 
     def _tick(self) -> None:
         self.replica.tick(time.monotonic_ns())
@@ -266,7 +266,7 @@
             why = f"{self.disk.path}: {error}" if isinstance(error, sqlite3.Error | OSError) else repr(error)
             self.stop(why)   # a member that can't write must not promise
             return
-        self.replica.core.written(time.monotonic_ns(), write)
+        self.replica.core.on_written(time.monotonic_ns(), write)
         self._pump()
 
     def _told(self, name: str) -> str:
@@ -318,8 +318,8 @@
             return
         self._refused.pop(hello.member, None)
         if hello != self._known.get(hello.member):
-            if hello.member not in self._known and len(self._known) >= known.MOST:
-                raise wire.WireError(f"more than {known.MOST} members were met")
+            if hello.member not in self._known and len(self._known) >= identity.MOST:
+                raise wire.WireError(f"more than {identity.MOST} members were met")
             self._known[hello.member] = hello
             try:   # before it is heard: after a start of all members somebody must still know
                 await self._loop.run_in_executor(self._thread, self.disk.remember, hello.member, ENCODE(hello))
@@ -336,7 +336,7 @@
         """A disk that was put back to an earlier time, or another one, may have forgotten what it voted."""
         if hello.member == self.name:
             return f"it calls itself {self.name}, as this member does"
-        return known.doubt(self._known.get(hello.member), hello)
+        return identity.rejection_reason(self._known.get(hello.member), hello)
 
     async def _client(self, reader: asyncio.StreamReader, client: _Client) -> None:
         while (frame := await self._frame(reader)) is not None:
@@ -389,7 +389,7 @@
 
     def _elsewhere(self, number: int) -> Answer:
         leader = self.replica.core.leader
-        return Answer(number, elsewhere=Elsewhere(leader, False, leader == self.name), address=self._told(leader))
+        return Answer(number, elsewhere=Redirect(leader, False, leader == self.name), address=self._told(leader))
 
     def _members(self, client: _Client, number: int, what: Members) -> None:
         """One step.  Where a new one listens is recorded first, so that every member can reach it."""
@@ -529,13 +529,13 @@
 
 
 def check(folder: Path, cluster: str, member: str) -> str:
-    """Read a member's whole disk and say what is on it.  Raises Damaged, OSError."""
+    """Read a member's whole disk and say what is on it.  Raises CorruptStore, OSError."""
     disk = Disk(folder, cluster, member, create=False)
     try:
         loaded, term, vote = disk.load(Config())
-        State.restored(loaded.snapshot.data)
+        State.from_image(loaded.snapshot.data)
     except msgspec.DecodeError as error:
-        raise Damaged(f"{disk.path}: the snapshot can't be read: {error}") from None
+        raise CorruptStore(f"{disk.path}: the snapshot can't be read: {error}") from None
     finally:
         disk.close()
     return (f"{disk.path}: {member} of {cluster}, term {term}, vote {vote or 'none'}, snapshot up to "
--- a/moleworks/store/protocol.py
+++ b/moleworks/store/protocol.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from .messages import Config, Message
-from .replica import Elsewhere
+from .replica import Redirect
 from .state import Command, Event, Result
 
 
@@ -110,7 +110,7 @@
 
     id: int
     result: Result | None = None
-    elsewhere: Elsewhere | None = None
+    elsewhere: Redirect | None = None
     address: str = ""                     # of whom `elsewhere` names
     rows: list[Row] | None = None
     grants: list[GrantRow] | None = None
--- a/moleworks/store/replica.py
+++ b/moleworks/store/replica.py
@@ -22,7 +22,7 @@
 """Past so many applied entries, or bytes of them, the state's image takes their place."""
 
 
-class Elsewhere(Struct, frozen=True):
+class Redirect(Struct, frozen=True):
     """Not answered here: ask `leader` (empty: nobody knows).  `again`: what was asked may have happened or may yet."""
 
     leader: str
@@ -35,7 +35,7 @@
 
     write: Write | None
     send: list[tuple[str, Message]]
-    answers: list[tuple[Any, Result | Elsewhere]]
+    answers: list[tuple[Any, Result | Redirect]]
     reads: list[Any]              # may be served from the state now
     applied: bool                 # the state has changed
 
@@ -48,10 +48,10 @@
         self.core = core
         self.state = state
         self._granter = granter()
-        self._granter.anew(now, state)
+        self._granter.restart_timers(now, state)
         self._waiting: dict[int, tuple[int, Any]] = {}     # index: term, whose
         self._reads: list[tuple[int, Any]] = []
-        self._answers: list[tuple[Any, Result | Elsewhere]] = []
+        self._answers: list[tuple[Any, Result | Redirect]] = []
         self._led = False
         self._compact_entries = compact_entries
         self._bytes = 0
@@ -63,21 +63,21 @@
         """A change; its answer comes out of `pump`, sooner or later or never."""
         core = self.core
         if core.role != LEADER:
-            self._answers.append((whose, Elsewhere(core.leader)))
+            self._answers.append((whose, Redirect(core.leader)))
             return
         if len(self._waiting) >= WAITING:
-            self._answers.append((whose, Elsewhere(core.name, False, True)))
+            self._answers.append((whose, Redirect(core.name, False, True)))
             return
         index = core.propose(now, encode(command))
         if index is None:
-            self._answers.append((whose, Elsewhere(core.leader, False, True)))
+            self._answers.append((whose, Redirect(core.leader, False, True)))
         else:
             self._waiting[index] = (core.term, whose)
 
     def read(self, now: int, whose: Any) -> None:
         """A linearizable read: `pump` names it once the state may be looked at."""
         if len(self._reads) >= WAITING or not self.core.read(now, whose):
-            self._answers.append((whose, Elsewhere(self.core.leader, True, self.core.role == LEADER)))
+            self._answers.append((whose, Redirect(self.core.leader, True, self.core.role == LEADER)))
 
     def reconfigure(self, now: int, config: Config) -> bool:
         """One step to another set of members."""
@@ -101,16 +101,16 @@
     def pump(self, now: int) -> Done:
         """Everything that follows from the events so far."""
         core = self.core
-        out = core.take()
+        out = core.take_output()
         changed = False
         if out.restore is not None:
-            self.state = type(self.state).restored(out.restore.data)
-            self._granter.anew(now, self.state)
+            self.state = type(self.state).from_image(out.restore.data)
+            self._granter.restart_timers(now, self.state)
             changed = True
         for entry in out.apply:
             term, whose = self._waiting.pop(entry.index, (0, None))
             if not entry.data:
-                result: Result | Elsewhere = Elsewhere(core.leader, True)
+                result: Result | Redirect = Redirect(core.leader, True)
             else:
                 command, result = self.state.apply(entry.data)
                 self.changes += 1
@@ -119,13 +119,13 @@
                 if isinstance(command, Acquire | Renew | Expire):
                     self._granter.applied(now, self.state, command.duty)
             if whose is not None:
-                self._answers.append((whose, result if term == entry.term else Elsewhere(core.leader, True)))
+                self._answers.append((whose, result if term == entry.term else Redirect(core.leader, True)))
         leads = core.role == LEADER
         if not leads and self._led:   # what was in the log may be committed by another leader, or never
-            self._answers += [(whose, Elsewhere(core.leader, True)) for _, whose in self._waiting.values()]
+            self._answers += [(whose, Redirect(core.leader, True)) for _, whose in self._waiting.values()]
             self._waiting.clear()
         self._led = leads
-        self._answers += [(whose, Elsewhere(core.leader, True)) for whose in out.lost]
+        self._answers += [(whose, Redirect(core.leader, True)) for whose in out.lost]
         self._reads += [(index, whose) for whose, index in out.reads]
         ready = [whose for index, whose in self._reads if index <= core.applied]
         if ready:
--- a/moleworks/store/state.py
+++ b/moleworks/store/state.py
@@ -14,7 +14,7 @@
 MAX_KEY, MAX_VALUE, MAX_OPS = 512, 256 * 1024, 128
 MAX_SESSIONS = 10_000
 """More clients than that: the one unused for longest is forgotten, and told so when it comes again."""
-KEPT_EVENTS = 20_000
+MAX_EVENTS = 20_000
 """Changes that watches can start from; older revisions are compacted, and a watch is told so."""
 
 
@@ -212,7 +212,7 @@
                 return Result(False, self.revision, "too large")
         if len(command.ops) > MAX_OPS:
             return Result(False, self.revision, "too large")
-        if command.guard is not None and not self._guarded(command.guard):
+        if command.guard is not None and not self._token_is_current(command.guard):
             return Result(False, self.revision, "token", self.tokens.get(command.guard.duty, 0))
         for condition in command.conditions:
             record = self.records.get(condition.key)
@@ -224,7 +224,7 @@
                 self._set(op.key, op.value if isinstance(op, Put) else None)
         return Result(True, self.revision)
 
-    def _guarded(self, guard: Guard) -> bool:
+    def _token_is_current(self, guard: Guard) -> bool:
         """An older grant's holder may go on as if nothing had been: what it wants is refused."""
         return guard.token >= self.tokens.get(guard.duty, 0) and guard.token > self.floor
 
@@ -239,7 +239,7 @@
         else:
             record.value, record.revision = value, self.revision
         self._events.append(Event(self.revision, key, value))
-        if len(self._events) > KEPT_EVENTS:
+        if len(self._events) > MAX_EVENTS:
             self.compacted = self._events.popleft().revision
             while self._events and self._events[0].revision == self.compacted:
                 self._events.popleft()
@@ -301,7 +301,7 @@
                               self.revision, floor=self.floor))
 
     @classmethod
-    def restored(cls, image: bytes) -> State:
+    def from_image(cls, image: bytes) -> State:
         """From a snapshot; empty bytes are the empty state.  Raises msgspec.DecodeError."""
         state = cls()
         if image:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from moleworks.gossip.messages import MOST, Ask, Entries, Entry, Foreign, pack, unpack
-from moleworks.gossip.values import KEYS, Values
+from moleworks.gossip.messages import MAX_DATAGRAM_BYTES, Delta, DigestRequest, Entry, ForeignDatagram, pack, unpack
+from moleworks.gossip.values import MAX_KEYS, Values
 from moleworks.rig.virtual import gossip
 
 
@@ -30,17 +30,17 @@
     messages = []
     for key, removed in puts:
         owner.put(f"k{key}", None if removed else b"x")
-        found = owner.beyond("a", *(one.owners["a"].version() if "a" in one.owners else (0, 0)), 1000)
+        found = owner.delta_since("a", *(one.owners["a"].version() if "a" in one.owners else (0, 0)), 1000)
         if found is not None:
-            told = Entries(1, "a", "a", 5, found[0], tuple(found[1]), found[2], found[3])
+            told = Delta(1, "a", "a", 5, found[0], tuple(found[1]), found[2], found[3])
             messages.append(told)
             one.merge(told)
     rng.shuffle(messages)   # type: ignore[attr-defined]
     for told in messages * 2:
         other.merge(told)
-    found = owner.beyond("a", *(other.owners["a"].version() if "a" in other.owners else (0, 0)), 10_000)
+    found = owner.delta_since("a", *(other.owners["a"].version() if "a" in other.owners else (0, 0)), 10_000)
     if found is not None:
-        other.merge(Entries(1, "a", "a", 5, found[0], tuple(found[1]), found[2], found[3]))
+        other.merge(Delta(1, "a", "a", 5, found[0], tuple(found[1]), found[2], found[3]))
     for values in (one, other):
         mine = {key: entry.value for key, entry in owner.owners["a"].entries.items() if entry.value is not None}
         known = values.owners["a"].entries if "a" in values.owners else {}
@@ -48,16 +48,17 @@
 
 
 def test_what_is_no_message_of_this_fleet_is_refused_and_bounds_hold() -> None:
-    good = pack(1, Ask(1, "a"))
-    assert unpack(1, good) == Ask(1, "a")
-    for bad in (pack(2, Ask(1, "a")), b"", good[:5], good[:-1], b"\x02" + good[1:], good + bytes(MOST), bytes(50)):
-        with pytest.raises(Foreign):
+    good = pack(1, DigestRequest(1, "a"))
+    assert unpack(1, good) == DigestRequest(1, "a")
+    for bad in (pack(2, DigestRequest(1, "a")), b"", good[:5], good[:-1], b"\x02" + good[1:],
+                good + bytes(MAX_DATAGRAM_BYTES), bytes(50)):
+        with pytest.raises(ForeignDatagram):
             unpack(1, bad)
     values = Values("a", 1)
-    for number in range(KEYS):
+    for number in range(MAX_KEYS):
         values.put(f"k{number}", b"")
     for key, value in (("more", b""), ("", b""), ("k" * 100, b""), ("k0", bytes(1000))):
         with pytest.raises(ValueError):
             values.put(key, value)
-    greedy = Entries(1, "z", "z", 1 << 61, 0, (Entry(1, "k", b"x"),), 1, True)
+    greedy = Delta(1, "z", "z", 1 << 61, 0, (Entry(1, "k", b"x"),), 1, True)
     assert not values.merge(greedy) and values.get(0, "b", "k", 1000) is None
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -94,11 +94,11 @@
     follower = core("b", Entry(1, 1), Entry(2, 1), Entry(3, 1), term=3)
     for _ in range(60):
         follower.on_message(1, "a", Append(3, 49, 3, (), 0, 1))
-        answer = next(message for _, message in follower.take().send if isinstance(message, Appended))
+        answer = next(message for _, message in follower.take_output().send if isinstance(message, Appended))
         assert not answer.ok and answer.index == 3
     leader.vote = "a"
     leader.role = "candidate"
-    leader._saved = (3, "a")
+    leader._durable_vote = (3, "a")
     leader._lead()
     peer = leader._peers["b"]
     peer.match, peer.next, peer.probing = 2, 50, False
@@ -110,36 +110,36 @@
     """Only it had the entry that took it out: the others would not vote for an older log, and it did not stand."""
     member = core("a", Entry(1, 1), Entry(2, 1, b"", Config(("b",))))
     member.tick(10**10)
-    assert [(to, message.pre) for to, message in member.take().send if isinstance(message, Ask)] == [("b", True)]
+    assert [(to, message.pre) for to, message in member.take_output().send if isinstance(message, Ask)] == [("b", True)]
     gone = core("a", Entry(1, 1), Entry(2, 1, b"", Config(("b",))))
     gone.commit = 2
     gone.tick(10**10)
-    assert gone.take().send == []
+    assert gone.take_output().send == []
 
 
 def test_a_member_that_does_not_vote_yet_forgets_a_leader_that_is_gone() -> None:
     """Its time-out counted as word from the leader: it refused its vote to the only one that could lead, for good."""
     member = core("m", Entry(1, 1), config=Config(("a", "b")))
     member.on_message(0, "a", Append(1, 1, 1, (), 1, 1))
-    member.take()
+    member.take_output()
     for second in range(1, 5):
         member.tick(second * 10**9)
     member.on_message(4 * 10**9 + 1, "a", Ask(2, 9, 1, True))
-    assert [message.granted for _, message in member.take().send if isinstance(message, Vote)] == [True]
+    assert [message.granted for _, message in member.take_output().send if isinstance(message, Vote)] == [True]
 
 
 def test_one_member_alone_leads_and_commits_only_what_is_on_disk() -> None:
     member = core("a", config=Config(("a",)))
     member.tick(10**10)
-    out = member.take()
+    out = member.take_output()
     assert out.write is not None and member.role != LEADER
-    member.written(10**10, out.write)
+    member.on_written(10**10, out.write)
     assert member.role == LEADER
     index = member.propose(10**10, b"x")
-    out = member.take()
+    out = member.take_output()
     assert out.write is not None and out.apply == []
-    member.written(10**10, out.write)
-    assert member.take().apply[-1].index == index
+    member.on_written(10**10, out.write)
+    assert member.take_output().apply[-1].index == index
 
 
 def done(machine: State, command: state.Command) -> state.Result:
@@ -155,7 +155,7 @@
     assert done(machine, change).revision == 1 and machine.revision == 1
     refused = done(machine, Change("c", 2, (Put("a", b"3"),), (Condition("a", 1), Condition("z", 9))))
     assert (refused.done, refused.why) == (False, "condition") and machine.records["a"].value == b"1"
-    again = State.restored(machine.image())
+    again = State.from_image(machine.image())
     assert done(again, Change("c", 2, (Put("a", b"3"),))) == refused   # the session came with the snapshot
     assert not machine.apply(b"\xc1 no command")[1].done
     assert next(iter(machine.events(0, "b") or ())).value == b"2" and again.events(0, "") is None
@@ -180,8 +180,8 @@
 
 
 def test_a_holder_has_stopped_before_the_granter_lets_go_by_any_clock() -> None:
-    from moleworks.store.grants import GRANTER
+    from moleworks.store.grants import GRANT_TIMEOUT_FACTOR
     held = Held("d", 1, 1000, sent=0)
-    slowest = held.until / 0.99                     # real time at which a slow holder stops
-    fastest = 1000 * 1e6 * GRANTER / 1.01           # and at which a fast granter lets go, counted from later
-    assert slowest < fastest and held.holds(held.until - 1) and not held.holds(held.until)
+    slowest = held.expires_at / 0.99                # real time at which a slow holder stops
+    fastest = 1000 * 1e6 * GRANT_TIMEOUT_FACTOR / 1.01   # and at which a fast granter lets go, counted from later
+    assert slowest < fastest and held.holds(held.expires_at - 1) and not held.holds(held.expires_at)
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -13,8 +13,8 @@
 
 from moleworks.store import backup
 from moleworks.store.client import Client, Refused
-from moleworks.store.disk import Damaged
-from moleworks.store.known import doubt
+from moleworks.store.disk import CorruptStore
+from moleworks.store.identity import rejection_reason
 from moleworks.store.protocol import Hello
 from moleworks.store.state import Guard, Put
 
@@ -67,7 +67,7 @@
     data = file.read_bytes()
     for bad in (data[:-1], data[:40], b"x" + data, data[:-3] + b"abc"):
         file.write_bytes(bad)
-        with pytest.raises(Damaged):
+        with pytest.raises(CorruptStore):
             backup.read(file)
     left = command("store", "backup", str(tmp_path / "left"), "--folder", str(tmp_path / "a"), "--name", "a")
     assert left.returncode == 0 and "31 records" in left.stdout, left    # of a member that is all that is left
@@ -97,12 +97,12 @@
 
 def test_disks_are_told_apart_by_starts_and_by_the_word_drawn_at_each() -> None:
     known = Hello("a", "x", "disk", 5, "five", "four")
-    assert doubt(None, known) == doubt(known, known) == ""
-    assert doubt(known, Hello("a", "y", "disk", 6, "six", "five")) == ""
-    assert doubt(known, Hello("a", "x", "disk", 8, "eight", "seven")) == ""   # not met in between
-    assert "another disk" in doubt(known, Hello("a", "x", "new", 9, "nine", "eight"))
+    assert rejection_reason(None, known) == rejection_reason(known, known) == ""
+    assert rejection_reason(known, Hello("a", "y", "disk", 6, "six", "five")) == ""
+    assert rejection_reason(known, Hello("a", "x", "disk", 8, "eight", "seven")) == ""   # not met in between
+    assert "another disk" in rejection_reason(known, Hello("a", "x", "new", 9, "nine", "eight"))
     for boot, life, before in ((4, "four", "three"), (5, "again", "four"), (6, "six", "again")):
-        assert "older" in doubt(known, Hello("a", "x", "disk", boot, life, before))
+        assert "older" in rejection_reason(known, Hello("a", "x", "disk", boot, life, before))
 
 
 def test_duties_by_command_acquired_renewed_watched_and_let_go(store: Store) -> None:
