--- a/gateway/core.py
+++ b/gateway/core.py
@@ -5,35 +5,26 @@
 """
 
 from __future__ import annotations
-from .attempt import Attempt
-from .attempt import Response
+
+import json
+import logging
+from collections import deque
+from collections.abc import Callable, Sequence
+from math import isnan
+from typing import Any, Protocol
+
+from bridgesaddle import Balancer
+from bridgesaddle.api import MS, Actions, Decisions, HostId, ListKind, Outcome, Settings
+
+from .attempt import Attempt, Response
 from .body import Body
 from .discovery import Discovery
 from .events import event
 from .peers import PeerSocket
-from .stalls import READ_DELAY_TOLERANCE_NS
-from .stalls import StallDetector
-from .timers import NO_DEADLINE_NS
-from .timers import Timers
-from .timers import now_ns
+from .stalls import READ_DELAY_TOLERANCE_NS, StallDetector
+from .timers import NO_DEADLINE_NS, Timers, now_ns
 from .update_parser import ListedHost
 from .upstream import Upstream
-from bridgesaddle import Balancer
-from bridgesaddle.api import Actions
-from bridgesaddle.api import Decisions
-from bridgesaddle.api import HostId
-from bridgesaddle.api import ListKind
-from bridgesaddle.api import MS
-from bridgesaddle.api import Outcome
-from bridgesaddle.api import Settings
-from collections import deque
-from collections.abc import Callable
-from collections.abc import Sequence
-from math import isnan
-from typing import Any
-from typing import Protocol
-import json
-import logging
 
 log = logging.getLogger("gateway.core")
 
--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -3,53 +3,52 @@
 """
 
 from __future__ import annotations
-from .discovery_calls import DiscoveryCall
-from .discovery_calls import Try
-from .discovery_timeouts import APART
-from .discovery_timeouts import BACKOFF_FIRST
-from .discovery_timeouts import FIRST_CALL
-from .discovery_timeouts import HEARTBEAT_INTERVAL_NS
-from .discovery_timeouts import HEARTBEAT_TOLERANCE_NS
-from .discovery_timeouts import IMMEDIATE_FAILURE_NS
-from .discovery_timeouts import OVERLOAD_BACKOFF_NS
-from .discovery_timeouts import QUICK_RESTS
-from .discovery_timeouts import RESET_AT_ONCE
-from .discovery_timeouts import SECOND_CALL
-from .discovery_timeouts import SECOND_CALL_PUSHED
-from .discovery_timeouts import TRIES
-from .discovery_timeouts import TURN
-from .discovery_timeouts import UNSURE
-from .discovery_timeouts import WATCH_RENEWAL_NS
-from .discovery_timeouts import WATCH_SILENCE_TIMEOUT_NS
-from .discovery_timeouts import cut_short_after
-from .discovery_timeouts import try_again_after
-from .events import event
-from .reachability import Reachability
-from .syscalls import pending_events
-from .timers import LATE_TIMER_NS
-from .timers import Timers
-from .timers import now_ns
-from .transient import LOCAL_ERRNOS
-from .update_parser import HostListUpdate
-from .update_parser import ListedHost
-from .update_parser import MalformedUpdate
-from .update_parser import UpdateParser
-from bridgesaddle.api import ListKind
-from bridgesaddle.api import SECOND
-from bridgesaddle.lease import ListLease
-from bridgesaddle.lease import MAX_UPDATE_DELAY_NS
-from bridgesaddle.lease import PROPAGATION_BOUND_NS
-from bridgesaddle.lease import Proof
-from bridgesaddle.lease import RELOAD_PROPAGATION_BOUND_NS
-from bridgesaddle.lease import Unreachable
-from bridgesaddle.lease import UpToDate
-from collections.abc import Callable
-from collections.abc import Sequence
-from typing import Any
+
 import asyncio
 import json
 import logging
 import random
+from collections.abc import Callable, Sequence
+from typing import Any
+
+from bridgesaddle.api import SECOND, ListKind
+from bridgesaddle.lease import (
+    MAX_UPDATE_DELAY_NS,
+    PROPAGATION_BOUND_NS,
+    RELOAD_PROPAGATION_BOUND_NS,
+    ListLease,
+    Proof,
+    Unreachable,
+    UpToDate,
+)
+
+from .discovery_calls import DiscoveryCall, Try
+from .discovery_timeouts import (
+    APART,
+    BACKOFF_FIRST,
+    FIRST_CALL,
+    HEARTBEAT_INTERVAL_NS,
+    HEARTBEAT_TOLERANCE_NS,
+    IMMEDIATE_FAILURE_NS,
+    OVERLOAD_BACKOFF_NS,
+    QUICK_RESTS,
+    RESET_AT_ONCE,
+    SECOND_CALL,
+    SECOND_CALL_PUSHED,
+    TRIES,
+    TURN,
+    UNSURE,
+    WATCH_RENEWAL_NS,
+    WATCH_SILENCE_TIMEOUT_NS,
+    cut_short_after,
+    try_again_after,
+)
+from .events import event
+from .reachability import Reachability
+from .syscalls import pending_events
+from .timers import LATE_TIMER_NS, Timers, now_ns
+from .transient import LOCAL_ERRNOS
+from .update_parser import HostListUpdate, ListedHost, MalformedUpdate, UpdateParser
 
 log = logging.getLogger("gateway.discovery")
 
@@ -159,7 +158,8 @@
         if now >= self._unsure_until:
             return False
         watch = self._watch
-        if watch is not None and watch.first_list_ns and watch.transport is not None and not pending_events(watch.transport):
+        if (watch is not None and watch.first_list_ns and watch.transport is not None
+                and not pending_events(watch.transport)):
             self._unsure_until = 0   # it is open, and all that was written to it is read
         return now < self._unsure_until
 
--- a/gateway/discovery_calls.py
+++ b/gateway/discovery_calls.py
@@ -1,19 +1,17 @@
 """One call of discovery: its connection, of several tries, and its answer cut into objects."""
 
 from __future__ import annotations
-from .discovery_timeouts import CALL
-from .discovery_timeouts import CONNECT
-from .discovery_timeouts import WATCH_SILENCE_TIMEOUT_NS
-from .syscalls import read_available
-from .timers import now_ns
-from .update_parser import MAX_UPDATE_BYTES
-from .update_parser import MalformedUpdate
-from .update_parser import Objects
-from typing import Protocol
-from typing import cast
+
 import asyncio
+from typing import Protocol, cast
+
 import httptools
 
+from .discovery_timeouts import CALL, CONNECT, WATCH_SILENCE_TIMEOUT_NS
+from .syscalls import read_available
+from .timers import now_ns
+from .update_parser import MAX_UPDATE_BYTES, MalformedUpdate, Objects
+
 MAX_HEAD = 16 * 1024
 PATH = "/registry/instances"
 
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -1,43 +1,7 @@
 """Configuration, signals and wiring of the real gateway."""
 
 from __future__ import annotations
-from .admin import Admin
-from .admin import Answered
-from .body import StreamBudget
-from .core import Core
-from .core import DecisionsFactory
-from .discovery import Discovery
-from .handover import Handover
-from .handover import host_and_port
-from .listener import Listener
-from .listener import listen_with_retry
-from .peers import PeerSocket
-from .server import Server
-from .stalls import StallDetector
-from .start_times import StartTimes
-from .stats import Stats
-from .syscalls import process_started_ns
-from .timers import Timers
-from .timers import now_ns
-from .transient import DISK
-from .transient import LOCAL_ERRNOS
-from .transient import pauses
-from .transient import persistently_at_once
-from .update_parser import ListedHost
-from .update_parser import UpdateParser
-from .upstream import Upstream
-from bridgesaddle import Balancer
-from bridgesaddle.api import ListKind
-from bridgesaddle.api import MS
-from bridgesaddle.api import SECOND
-from bridgesaddle.api import Settings
-from bridgesaddle.wire import WireError
-from bridgesaddle.wire import parse_settings
-from collections.abc import Iterator
-from collections.abc import Mapping
-from collections.abc import Sequence
-from dataclasses import replace
-from typing import Any
+
 import asyncio
 import gc
 import json
@@ -47,8 +11,33 @@
 import signal
 import sys
 import time
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import replace
+from typing import Any
+
 import uvloop
 
+from bridgesaddle import Balancer
+from bridgesaddle.api import MS, SECOND, ListKind, Settings
+from bridgesaddle.wire import WireError, parse_settings
+
+from .admin import Admin, Answered
+from .body import StreamBudget
+from .core import Core, DecisionsFactory
+from .discovery import Discovery
+from .handover import Handover, host_and_port
+from .listener import Listener, listen_with_retry
+from .peers import PeerSocket
+from .server import Server
+from .stalls import StallDetector
+from .start_times import StartTimes
+from .stats import Stats
+from .syscalls import process_started_ns
+from .timers import Timers, now_ns
+from .transient import DISK, LOCAL_ERRNOS, pauses, persistently_at_once
+from .update_parser import ListedHost, UpdateParser
+from .upstream import Upstream
+
 log = logging.getLogger("gateway")
 
 SWEEP_INTERVAL_NS = 500 * MS
--- a/gateway/server.py
+++ b/gateway/server.py
@@ -1,35 +1,28 @@
 """The client side: connections of clients, parsed into requests.  Checks: checks.py; answers: exchange.py."""
 
 from __future__ import annotations
+
+import asyncio
+import logging
+import socket
+import struct
+from collections import deque
+from typing import Any, cast
+
+import httptools
+
+from bridgesaddle.api import MS, SECOND, Settings
+
 from .attempt import Header
-from .body import Body
-from .body import PIECE
-from .body import StreamBudget
-from .checks import BadRequest
-from .checks import Checks
+from .body import PIECE, Body, StreamBudget
+from .checks import BadRequest, Checks
 from .core import Core
 from .events import event
 from .exchange import Exchange
 from .stats import Stats
-from .syscalls import CONNECTION_LOST_EVENTS
-from .syscalls import PEER_CLOSED_EVENTS
-from .syscalls import pending_events
-from .timers import Timers
-from .timers import now_ns
-from .upstream import MAX_BODY
-from .upstream import MAX_LONG
-from .upstream import STREAM_STALL_TIMEOUT_NS
-from bridgesaddle.api import MS
-from bridgesaddle.api import SECOND
-from bridgesaddle.api import Settings
-from collections import deque
-from typing import Any
-from typing import cast
-import asyncio
-import httptools
-import logging
-import socket
-import struct
+from .syscalls import CONNECTION_LOST_EVENTS, PEER_CLOSED_EVENTS, pending_events
+from .timers import Timers, now_ns
+from .upstream import MAX_BODY, MAX_LONG, STREAM_STALL_TIMEOUT_NS
 
 log = logging.getLogger("gateway.server")
 
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -5,32 +5,24 @@
 """
 
 from __future__ import annotations
-from .attempt import Attempt
-from .attempt import Header
-from .attempt import Response
-from .body import Body
-from .body import PIECE
-from .body import StreamBudget
+
+import asyncio
+import logging
+from collections.abc import Callable, Iterable
+from typing import Any, cast
+
+import httptools
+
+from bridgesaddle.api import MS, SECOND, HostId, HostState, Outcome
+
+from .attempt import Attempt, Header, Response
+from .body import PIECE, Body, StreamBudget
 from .events import event
 from .stats import Stats
-from .syscalls import pending_events
-from .syscalls import write_before
-from .timers import Timers
-from .timers import now_ns
+from .syscalls import pending_events, write_before
+from .timers import Timers, now_ns
 from .transient import LOCAL_ERRNOS
 from .update_parser import ListedHost
-from bridgesaddle.api import HostId
-from bridgesaddle.api import HostState
-from bridgesaddle.api import MS
-from bridgesaddle.api import Outcome
-from bridgesaddle.api import SECOND
-from collections.abc import Callable
-from collections.abc import Iterable
-from typing import Any
-from typing import cast
-import asyncio
-import httptools
-import logging
 
 log = logging.getLogger("gateway.upstream")
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -4,22 +4,22 @@
 """
 
 from __future__ import annotations
+
+import asyncio
+import json
+import tempfile
+from collections.abc import Awaitable, Callable, Coroutine
+from contextlib import AsyncExitStack
+from typing import Any
+
+import uvloop
+
 from bridgesaddle import Balancer
 from bridgesaddle.lease import UpToDate
-from collections.abc import Awaitable
-from collections.abc import Callable
-from collections.abc import Coroutine
-from contextlib import AsyncExitStack
 from gateway.core import DecisionsFactory
-from gateway.program import Config
-from gateway.program import Gateway
+from gateway.program import Config, Gateway
 from gateway.timers import now_ns
 from gateway.upstream import REUSE_DELAY_NS
-from typing import Any
-import asyncio
-import json
-import tempfile
-import uvloop
 
 LIMIT_S = 20.0
 """No test waits longer than this for an event that does not come."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,31 +1,23 @@
 """The driver of the module, on a clock and a transport that the test moves by hand."""
 
 from __future__ import annotations
-from bridgesaddle.api import Effect
-from bridgesaddle.api import HostEntry
-from bridgesaddle.api import HostState
-from bridgesaddle.api import Limits
-from bridgesaddle.api import ListKind
-from bridgesaddle.api import MS
-from bridgesaddle.api import Outcome
-from bridgesaddle.api import RequestClass
-from bridgesaddle.api import SECOND
+
 from collections.abc import Callable
+from heapq import heappop, heappush
+from typing import Any, cast
+
+import pytest
+
+from bridgesaddle.api import MS, SECOND, Effect, HostEntry, HostState, Limits, ListKind, Outcome, RequestClass
 from gateway import core as core_module
-from gateway.attempt import Attempt
-from gateway.attempt import Response
+from gateway.attempt import Attempt, Response
 from gateway.body import Body
 from gateway.core import Core
 from gateway.discovery import Discovery
 from gateway.timers import Timers
 from gateway.update_parser import ListedHost
 from gateway.upstream import Upstream
-from heapq import heappop
-from heapq import heappush
 from tests.gateway import some_settings
-from typing import Any
-from typing import cast
-import pytest
 
 READ = RequestClass("read", aim_ns=80 * MS, deadline_ns=400 * MS, effect=Effect.SAFE, late_worth=0.5)
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,30 +1,21 @@
 """Long messages and the forms of HTTP/1.1, over loopback sockets: streamed, bounded, never cut."""
 
 from __future__ import annotations
-from bridgesaddle.api import Outcome
-from bridgesaddle.api import SECOND
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from bridgesaddle.api import SECOND, Outcome
 from gateway import upstream
-from gateway.body import Body
-from gateway.body import MAX_REPLAY_BYTES
-from gateway.body import StreamBudget
+from gateway.body import MAX_REPLAY_BYTES, Body, StreamBudget
 from gateway.program import SWEEP_INTERVAL_NS
 from gateway.server import HEAD_TIMEOUT_NS
 from gateway.timers import now_ns
-from tests.sockets import Client
-from tests.sockets import FakeHost
-from tests.sockets import OK
-from tests.sockets import Stage
-from tests.sockets import play
-from tests.sockets import request
-from tests.sockets import rested
-from tests.sockets import until
-from tests.test_operations import HEALTH
-from tests.test_operations import OPERATOR
-from tests.test_operations import figures
+from tests.sockets import OK, Client, FakeHost, Stage, play, request, rested, until
+from tests.test_operations import HEALTH, OPERATOR, figures
 from tests.test_server import Sends
-from typing import Any
-import asyncio
-import pytest
 
 LONG = bytes(range(256)) * 8192   # 2 MB
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,24 +1,22 @@
 """What operators see: the second address, the figures."""
 
 from __future__ import annotations
+
+import asyncio
+import socket
+import tempfile
+from pathlib import Path
+
+import pytest
+
 from bridgesaddle.api import MS
 from gateway import program
 from gateway.admin import MAX_OPERATOR_CONNECTIONS
 from gateway.handover import Handover
 from gateway.server import DRAIN_IDLE_TIMEOUT_NS
 from gateway.timers import now_ns
-from pathlib import Path
-from tests.sockets import FakeHost
-from tests.sockets import Stage
-from tests.sockets import play
-from tests.sockets import request
-from tests.sockets import until
-from tests.test_server import Fails
-from tests.test_server import Refuses
-import asyncio
-import pytest
-import socket
-import tempfile
+from tests.sockets import FakeHost, Stage, play, request, until
+from tests.test_server import Fails, Refuses
 
 OPERATOR = {"operator": "127.0.0.1:0"}
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,32 +1,22 @@
 """Clients' side and the core, over loopback sockets: exactly one answer, whatever comes."""
 
 from __future__ import annotations
-from bridgesaddle.api import Actions
-from bridgesaddle.api import HostId
-from bridgesaddle.api import MS
-from bridgesaddle.api import Outcome
-from bridgesaddle.api import SECOND
-from bridgesaddle.api import Settings
-from collections.abc import Sequence
-from gateway.server import ClientConnection
-from gateway.server import IDLE_TIMEOUT_NS
-from gateway.syscalls import pending_events
-from gateway.timers import now_ns
-from gateway.upstream import Connection
-from tests.sockets import FakeHost
-from tests.sockets import OK
-from tests.sockets import SETTINGS
-from tests.sockets import Stage
-from tests.sockets import play
-from tests.sockets import request
-from tests.sockets import rested
-from tests.sockets import until
-from typing import Any
+
 import asyncio
 import gc
-import pytest
 import socket
 import struct
+from collections.abc import Sequence
+from typing import Any
+
+import pytest
+
+from bridgesaddle.api import MS, SECOND, Actions, HostId, Outcome, Settings
+from gateway.server import IDLE_TIMEOUT_NS, ClientConnection
+from gateway.syscalls import pending_events
+from gateway.timers import now_ns
+from gateway.upstream import Connection
+from tests.sockets import OK, SETTINGS, FakeHost, Stage, play, request, rested, until
 
 STALL = 900 * MS
 """A busy machine may stand still for so long: the verdict must not depend on it."""
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,31 +1,22 @@
 """Attempts, outcomes and the pool, over loopback sockets."""
 
 from __future__ import annotations
-from bridgesaddle.api import HostEntry
-from bridgesaddle.api import HostState
-from bridgesaddle.api import MS
-from bridgesaddle.api import Outcome
-from bridgesaddle.api import SECOND
+
+import asyncio
+import socket
 from collections.abc import Iterator
 from contextlib import contextmanager
-from gateway.attempt import Attempt
-from gateway.attempt import Response
+
+import pytest
+
+from bridgesaddle.api import MS, SECOND, HostEntry, HostState, Outcome
+from gateway.attempt import Attempt, Response
 from gateway.body import StreamBudget
 from gateway.stats import Stats
-from gateway.timers import Timers
-from gateway.timers import now_ns
+from gateway.timers import Timers, now_ns
 from gateway.update_parser import ListedHost
-from gateway.upstream import MAX_HEAD_BYTES
-from gateway.upstream import Upstream
-from tests.sockets import FakeHost
-from tests.sockets import OK
-from tests.sockets import Stage
-from tests.sockets import play
-from tests.sockets import request
-from tests.sockets import rested
-import asyncio
-import pytest
-import socket
+from gateway.upstream import MAX_HEAD_BYTES, Upstream
+from tests.sockets import OK, FakeHost, Stage, play, request, rested
 
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
 TURNED_AWAY = b"Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
