--- a/bridgesaddle/api.py
+++ b/bridgesaddle/api.py
@@ -155,8 +155,8 @@
     connect_timeout_ns: int = 250 * MS
     conn_idle_ns: int = 0        # idle connections are closed after this; 0: not configured
     streams_per_conn: int = 1
-    max_open_requests: int = 0            # the gateway rejects requests beyond this before the module sees them
-    max_client_requests: int = 0         # open requests that the clients' connections allow; 0: not configured
+    max_open_requests: int = 0    # the gateway rejects requests beyond this before the module sees them
+    max_client_requests: int = 0  # open requests that the clients' connections allow; 0: not configured
     cpu_us_per_s: float = 0.0    # 0: not configured
     cpu_us_per_request: float = 0.0
 
--- a/bridgesaddle/decide.py
+++ b/bridgesaddle/decide.py
@@ -52,7 +52,7 @@
 OVERLOAD_DELAY_SHARE = 0.5  # share of TARGET_DELAY_T1 above which a pool counts as overloaded there
 
 # Placement.
-MAX_DRAWS = 6        # pairs drawn before a first attempt is sent to a server that it should avoid
+MAX_DRAWS = 6        # pairs drawn to find a server that a first attempt should not avoid
 MAX_SCANNED_SERVERS = 8  # other servers of the zone that a gated retry considers: limits the cost of a retry
 EJECT_Q_AVG_T1 = 0.6  # q_avg at which p is 0.5: first attempts avoid the server
 RATIO_WEIGHT = 0.1   # weight of a response in a server's latency relative to its class
@@ -901,7 +901,7 @@
                    for server in self._servers.values())
 
     def _advance_clock(self, now_ns: int) -> int:
-        """Time never goes back for the module, even if the clock of its caller does."""
+        """The current time, which never goes back, even if the clock of the caller does."""
         if now_ns > self._now:
             self._now = now_ns
         return self._now
@@ -959,7 +959,7 @@
             self._end(max(entry for entry in self._waiting if entry[2].waiting)[2], now)
 
     def _marginal_worth(self, cls: _Class) -> float:
-        """What a response in time adds to the configured goal, in worth; the worst class counts extra."""
+        """The worth that a response in time adds to the configured goal; the worst class weighs more."""
         goal = self._settings.goal
         missed = [other.missed_share for other in self._classes]
         difference = max(missed) - min(missed)
--- a/bridgesaddle/lease.py
+++ b/bridgesaddle/lease.py
@@ -160,7 +160,8 @@
             return min(self._proven_ns(), self._unparsable_ns)
         if self._last_up_to_date_ns > DISTANT_PAST_NS:
             return self._effective_ns()
-        return self._started_ns + (0 if self._pushed else self._grace_ns)   # a change may be missed for the grace
+        # The time from the start to the first call is allowed for, up to the grace (`_postpone` adds it in push mode).
+        return self._started_ns + (0 if self._pushed else self._grace_ns)
 
     # ---- Events that can only shorten the lease ------------------------------------------------------------
 
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -414,7 +414,7 @@
     assert not gateway.broken
 
 
-def answer_all(gateway: Gateway, spent_ns: int) -> None:
+def serve_all(gateway: Gateway, spent_ns: int) -> None:
     """Serve all attempts in flight after this time, and then those that get their capacity."""
     gateway.run(gateway.now + spent_ns)
     for rid in [rid for rid, held in gateway.held.items() if held.out]:
@@ -424,7 +424,7 @@
 def burst(gateway: Gateway, size: int = 200) -> int:
     """How many of this number of simultaneous requests are sent at once, by a gateway without waiting ones."""
     while gateway.module._waiting_count or any(held.out for held in gateway.held.values()):
-        answer_all(gateway, 20 * MS)
+        serve_all(gateway, 20 * MS)
     return sum(gateway.held[gateway.request()].count for _ in range(size))
 
 
@@ -435,7 +435,7 @@
     for _ in range(100):
         for _ in range(40):
             gateway.request()
-        answer_all(gateway, 75 * MS)
+        serve_all(gateway, 75 * MS)
     assert burst(gateway) < 20
     assert not gateway.broken
 
@@ -445,16 +445,16 @@
     """If each reset counted as one T1 of queueing in its pool, the limit would fall while the servers are idle."""
     gateway = Gateway(some_settings(), [entry(f"h{number}") for number in range(8)])
     settle(gateway, 40, 10 * MS)
-    held_back = answers = 0
+    delayed = responses = 0
     for _ in range(400):
         batch = [gateway.request() for _ in range(4)]
-        held_back += sum(1 for rid in batch if not gateway.held[rid].count)
+        delayed += sum(1 for rid in batch if not gateway.held[rid].count)
         gateway.run(gateway.now + 10 * MS)
         for rid in [rid for rid, held in gateway.held.items() if held.out]:
-            answers += 1
-            gateway.outcome(rid, Outcome.OK if answers % 6 else outcome, spent_ns=10 * MS)
+            responses += 1
+            gateway.outcome(rid, Outcome.OK if responses % 6 else outcome, spent_ns=10 * MS)
         gateway.run(gateway.now + 10 * MS)
-    assert held_back < 20
+    assert delayed < 20
     assert not gateway.broken
 
 
@@ -465,7 +465,7 @@
     for _ in range(40):
         for _ in range(8):
             gateway.request(ttl_ns=50 * MS)
-        answer_all(gateway, 40 * MS)
+        serve_all(gateway, 40 * MS)
     assert burst(gateway) > 8
     assert not gateway.broken
 
@@ -544,7 +544,7 @@
     for _ in range(100):
         for _ in range(4):
             gateway.request()
-        answer_all(gateway, 400 * MS)
+        serve_all(gateway, 400 * MS)
     to_new = sum(1 for _, host, _ in gateway.sends if str(host).startswith("new"))
     assert to_new > 0.55 * len(gateway.sends)
     assert not gateway.broken
@@ -562,7 +562,7 @@
     for _ in range(100):
         for _ in range(8):
             gateway.request()
-        answer_all(gateway, 400 * MS)
+        serve_all(gateway, 400 * MS)
     assert sum(1 for _, host, _ in gateway.sends if str(host).startswith("new")) > 120
     assert not gateway.broken
 
@@ -582,7 +582,7 @@
         while gateway.now < until:
             for _ in range(8):
                 gateway.request()
-            answer_all(gateway, 100 * MS)
+            serve_all(gateway, 100 * MS)
         sent += gateway.hosts_sent()
     # One core serves 12.5 requests per second; cold, 0.12 to 0.18 of that in this time.
     assert max(sent.values()) < 3.0 * 0.15 * 12.5 * 1.5
@@ -598,7 +598,7 @@
         gateway.module._near.limit = 4.0
         for cls in (0, 1) * 4:
             rids_by_class[cls].append(gateway.request(cls))
-        answer_all(gateway, 50 * MS)
+        serve_all(gateway, 50 * MS)
     valuable_served, cheap_served = (sum(gateway.ends.get(rid) == "served" for rid in rids) for rids in rids_by_class)
     assert cheap_served > valuable_served / 2
     assert not gateway.broken
