--- a/gateway/__init__.py
+++ b/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: sockets, timers and tables round the decisions of `bridgesaddle`."""
+"""The gateway process: sockets, timers and tables around the decisions of `bridgesaddle`."""
--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -1,7 +1,8 @@
-"""The program's start: gentle beside a process that serves.
+"""Entry point; limits its CPU use at startup while another process of this gateway serves.
 
-Both share the processor time of one gateway.  A start at full speed uses up what is theirs, and both are
-stopped until that is made up for, while clients' requests pile up.  So it imports in steps, with pauses.
+Both processes share the CPU quota of one gateway.  A startup at full speed exhausts it, and the kernel then throttles
+both processes until it is replenished, while clients' requests queue up.  The modules are therefore imported in steps,
+with pauses in between.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 if TYPE_CHECKING:
     from .handover import Handover
 
-HANDOVER = "gateway.handover"
-STEPS = ("re", "json", "logging", "tempfile", HANDOVER, "inspect", "socket", "ssl", "concurrent.futures",
-         "asyncio.events", "asyncio", "uvloop", "httptools", "dataclasses", "bridgesaddle.api",
-         "bridgesaddle", "bridgesaddle.wire", "gateway.discovery", "gateway.upstream", "gateway.core",
-         "gateway.server", "gateway.program")
-"""What takes most of a start, in steps of some milliseconds."""
+HANDOVER_MODULE = "gateway.handover"
+IMPORT_STEPS = ("re", "json", "logging", "tempfile", HANDOVER_MODULE, "inspect", "socket", "ssl", "concurrent.futures",
+                "asyncio.events", "asyncio", "uvloop", "httptools", "dataclasses", "bridgesaddle.api",
+                "bridgesaddle", "bridgesaddle.wire", "gateway.discovery", "gateway.upstream", "gateway.core",
+                "gateway.server", "gateway.program")
+"""Modules whose import takes most of the startup time, in steps of a few milliseconds."""
 PAUSE_FACTOR = 3
-"""After each step, so many times the processor time that it took."""
+"""Pause after each step, as a multiple of the CPU time that the step took."""
 
 
-def _beside() -> bool:
-    """Whether there is a file of another process (handover.py), or one that a killed process has left.
+def _other_may_run() -> bool:
+    """Return whether another process's file (handover.py) exists; it may be a leftover of a killed process.
 
-    Nothing is imported to find out for sure: that would take a good part of what is to be spread.
+    The lock is not checked: importing the modules for that would take much of the CPU time that is to be spread.
     """
     try:
         return any(name.startswith("gateway-") for name in os.listdir(os.environ.get("TMPDIR") or "/tmp"))
@@ -36,8 +37,8 @@
         return False
 
 
-def _announced() -> Handover | None:
-    """Tell the other process of this one, long before it is ready: from now on both share what one has."""
+def _register_early() -> Handover | None:
+    """Register with the other process long before this one is ready: from now on both share one gateway's limits."""
     import json
 
     from .handover import Handover, host_and_port
@@ -46,24 +47,24 @@
             listen: str = os.environ.get("EDGE_LISTEN") or json.load(file)["listen"]
         handover = Handover(host_and_port(listen))
     except (OSError, LookupError, ValueError, TypeError, AttributeError, RecursionError):
-        return None   # the program says what is wrong
+        return None   # the program reports the error
     handover.register()
     return handover
 
 
 def start() -> int:
-    """Import the program, and run it."""
-    early = None
-    if _beside():
-        used = 0.0   # by the interpreter too
-        for name in STEPS:
-            now = time.process_time()
-            time.sleep(PAUSE_FACTOR * (now - used))
-            used = now
+    """Import the program and run it."""
+    handover = None
+    if _other_may_run():
+        used_s = 0.0   # includes the CPU time of the interpreter's start
+        for name in IMPORT_STEPS:
+            cpu_s = time.process_time()
+            time.sleep(PAUSE_FACTOR * (cpu_s - used_s))
+            used_s = cpu_s
             importlib.import_module(name)
-            if name == HANDOVER:
-                early = _announced()
-    return int(importlib.import_module("gateway.program").main(early))
+            if name == HANDOVER_MODULE:
+                handover = _register_early()
+    return int(importlib.import_module("gateway.program").main(handover))
 
 
 if __name__ == "__main__":
--- a/gateway/admin.py
+++ b/gateway/admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: one call a connection, answered from memory, apart from all clients."""
+"""HTTP server for operators: one request per connection, answered from memory, separate from all clients."""
 
 from __future__ import annotations
 
@@ -13,143 +13,142 @@
 from .listener import Listener, listen_with_retry
 from .timers import now_ns
 
-MAX_CALL = 8 * 1024
-"""Longest call, bytes; none of them needs a body."""
+MAX_REQUEST_BYTES = 8 * 1024
+"""Maximum size of a request; no request needs a body."""
 MAX_OPERATOR_CONNECTIONS = 24
-"""Connections held at once: the one that has waited longest makes room for the next."""
-ARRIVE = 1500 * MS
-"""Longest time for a call to arrive, counted from connecting."""
-LINGER = 1 * SECOND
-"""How long the other side may take to close after its answer."""
+"""Maximum open connections: beyond it the oldest connection is closed for the new one."""
+REQUEST_TIMEOUT_NS = 1500 * MS
+"""Maximum time for a request to arrive, from when the connection was accepted."""
+CLOSE_TIMEOUT_NS = 1 * SECOND
+"""Maximum time for the peer to close the connection after the response."""
 
-Answered = tuple[int, bytes]
-Calls = Mapping[tuple[str, str], Callable[[], Answered]]
-"""What is answered at which method and path."""
+OperatorResponse = tuple[int, bytes]
+Handlers = Mapping[tuple[str, str], Callable[[], OperatorResponse]]
+"""Handlers by method and path."""
 
 _REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
             408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 503: "Service Unavailable"}
 
 
-class Caller(asyncio.Protocol):
-    """One connection: a call, its answer, and the end."""
+class OperatorConnection(asyncio.Protocol):
+    """One connection: a request, its response and the close."""
 
-    def __init__(self, admin: Admin) -> None:
-        self._admin = admin
+    def __init__(self, server: OperatorServer) -> None:
+        self._server = server
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._size = 0
-        self._whole = False
-        self._answered = False
+        self._complete = False
+        self._responded = False
         self.transport: asyncio.Transport | None = None
-        self.since = now_ns()
+        self.state_since = now_ns()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)   # uvloop has its own kind
-        self._admin.joined(self)
+        self.transport = cast(asyncio.Transport, transport)   # uvloop has its own transport classes
+        self._server.add_connection(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._admin.left(self)
+        self._server.remove_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._answered:
+        if self._responded:
             return
         self._size += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass   # answered as if it had not been asked for
+            pass   # the request is answered without an upgrade
         except httptools.HttpParserError:
-            if not self._whole:
-                self._answer(400, b"malformed\n")
+            if not self._complete:
+                self._respond(400, b"malformed\n")
                 return
-        if self._whole:
-            self._answer(*self._admin.call(self._parser.get_method().decode(errors="replace"),
-                                           self._target.split(b"?", 1)[0].decode(errors="replace")))
-        elif self._size > MAX_CALL:
-            self._answer(413, b"a call too long\n")
+        if self._complete:
+            self._respond(*self._server.respond_to(self._parser.get_method().decode(errors="replace"),
+                                                   self._target.split(b"?", 1)[0].decode(errors="replace")))
+        elif self._size > MAX_REQUEST_BYTES:
+            self._respond(413, b"a call too long\n")
 
     def eof_received(self) -> bool:
-        """Half a call is never made whole; who has called may still read."""
-        return self._answered and not self._admin.closing
+        """Keep the connection open only for an unread response: an incomplete request can't become complete."""
+        return self._responded and not self._server.closing
 
-    # The parser's side.
+    # Callbacks of the HTTP parser.
 
     def on_url(self, url: bytes) -> None:
         self._target += url
 
     def on_message_complete(self) -> None:
-        self._whole = True
+        self._complete = True
 
-    # What follows.
+    # Response and timeouts.
 
-    def _answer(self, status: int, body: bytes) -> None:
+    def _respond(self, status: int, body: bytes) -> None:
         transport = self.transport
-        self._answered = True
+        self._responded = True
         if transport is None or transport.is_closing():
             return
         transport.write(f"HTTP/1.1 {status} {_REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
                         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n".encode() + body)
-        self.since = now_ns()
-        if transport.can_write_eof():   # not a close: a reset would take the answer with it
+        self.state_since = now_ns()
+        if transport.can_write_eof():   # no close yet: a reset would discard the response
             transport.write_eof()
 
     def sweep(self, now: int) -> None:
-        """Whoever sends nothing, half a call, or does not close is not waited for."""
+        """Enforce the timeouts for a request to arrive and for the peer to close."""
         if self.transport is None:
             return
-        if self._answered:
-            if now - self.since > LINGER:
+        if self._responded:
+            if now - self.state_since > CLOSE_TIMEOUT_NS:
                 self.transport.abort()
-        elif now - self.since > ARRIVE:
-            self._answer(408, b"the call was too slow\n")
+        elif now - self.state_since > REQUEST_TIMEOUT_NS:
+            self._respond(408, b"the call was too slow\n")
 
 
-class Admin:
-    """All callers, within a bound."""
+class OperatorServer:
+    """The operators' server, with a limited number of connections."""
 
-    def __init__(self, calls: Calls) -> None:
-        self._calls = calls
-        self._callers: dict[Caller, None] = {}
+    def __init__(self, handlers: Handlers) -> None:
+        self._handlers = handlers
+        self._connections: dict[OperatorConnection, None] = {}
         self._listener: Listener | None = None
         self.closing = False
 
     async def listen(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen there, alone; returns the address.  Raises OSError where that stays impossible."""
-        self._listener = await listen_with_retry(loop, address, lambda: Caller(self), shared=False,
+        """Listen at an address that no other process shares; return it.  Raises OSError if retries do not help."""
+        self._listener = await listen_with_retry(loop, address, lambda: OperatorConnection(self), shared=False,
                                                  wanted=lambda: not self.closing)
         return self._listener.address
 
-    def call(self, method: str, path: str) -> Answered:
-        """The answer to a call."""
-        if (method, path) in self._calls:
-            return self._calls[method, path]()
-        if any(path == known for _, known in self._calls):
+    def respond_to(self, method: str, path: str) -> OperatorResponse:
+        """Return the response to a request."""
+        if (method, path) in self._handlers:
+            return self._handlers[method, path]()
+        if any(path == known for _, known in self._handlers):
             return 405, b"not with this method\n"
         return 404, b"no such path\n"
 
-    def joined(self, caller: Caller) -> None:
-        """Count a caller in; the one that has been here longest makes room."""
-        self._callers[caller] = None
-        if len(self._callers) > MAX_OPERATOR_CONNECTIONS:
-            oldest = next(iter(self._callers))
+    def add_connection(self, connection: OperatorConnection) -> None:
+        """Add a connection; beyond the limit the oldest one is closed."""
+        self._connections[connection] = None
+        if len(self._connections) > MAX_OPERATOR_CONNECTIONS:
+            oldest = next(iter(self._connections))
             if oldest.transport is not None:
                 oldest.transport.abort()
-            self.left(oldest)
+            self.remove_connection(oldest)
 
-    def left(self, caller: Caller) -> None:
-        """Count a caller out."""
-        self._callers.pop(caller, None)
+    def remove_connection(self, connection: OperatorConnection) -> None:
+        self._connections.pop(connection, None)
 
     def sweep(self, now: int) -> None:
-        """Look after all callers."""
-        for caller in list(self._callers):
-            caller.sweep(now)
+        """Enforce the timeouts of all connections."""
+        for connection in list(self._connections):
+            connection.sweep(now)
 
     def close(self) -> None:
-        """The program is over."""
+        """Stop listening and close all connections."""
         self.closing = True
         if self._listener is not None:
             self._listener.close()
-        for caller in list(self._callers):
-            if caller.transport is not None:
-                caller.transport.close()
+        for connection in list(self._connections):
+            if connection.transport is not None:
+                connection.transport.close()
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -1,4 +1,4 @@
-"""Configuration, signals and wiring of the real gateway."""
+"""Configuration, signals and wiring of the gateway process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from bridgesaddle.api import MS, SECOND, ListKind, Settings
 from bridgesaddle.wire import WireError, parse_settings
 
-from .admin import Admin, Answered
+from .admin import OperatorResponse, OperatorServer
 from .body import StreamBudget
 from .core import Core, DecisionsFactory
 from .discovery import Discovery
@@ -34,122 +34,126 @@
 from .stats import Stats
 from .syscalls import process_started_ns
 from .timers import Timers, now_ns
-from .transient import DISK, LOCAL_ERRNOS, pauses, persistently_at_once
+from .transient import DISK_ERRNOS, LOCAL_ERRNOS, backoff_delays, retry_before_loop
 from .update_parser import ListedHost, UpdateParser
 from .upstream import Upstream
 
 log = logging.getLogger("gateway")
 
 SWEEP_INTERVAL_NS = 500 * MS
-CROSSING = 600 * MS
-"""After SIGTERM new connections go on coming for 0.4 s at most; they are taken for somewhat longer."""
-LEAVE_MOST = 3 * SECOND
-LEAVE_MORE = 200 * MS
-"""So long after SIGTERM, and after the longest deadline, the program ends whatever is held.
-
-SIGKILL comes from 0.7 s after that deadline on, which counts as 3 s at most.
+ACCEPT_AFTER_SIGTERM_NS = 600 * MS
+"""Connections are accepted for this long after SIGTERM: clients go on connecting for up to 0.4 s."""
+MAX_SHUTDOWN_DEADLINE_NS = 3 * SECOND
+"""A shutdown waits for the longest request deadline, but at most for this long."""
+SHUTDOWN_MARGIN_NS = 200 * MS
+"""Requests that are still open this long after SIGTERM plus the longest deadline are failed.
+
+SIGKILL may arrive from 0.7 s after that deadline on, which is limited to 3 s.
 """
-LEAVE_LAST = 300 * MS
-"""So long clients may then take to read their answers and to close."""
-RESERVE = 48
-"""Descriptors for everything that is neither a client's nor a host's connection."""
-CLIENTS = 0.55
-"""Part of the other descriptors that clients may hold."""
-CLIENTS_MOST = 3
-"""Clients use one in so many of all descriptors for requests at most."""
-MEMORY = 192
-"""The limit where none is told, MB."""
-ITSELF = 40
-"""What the program needs for itself, MB: two processes share the rest."""
-BESIDE = 250 * MS
-"""So often it is looked whether another process of this gateway runs."""
-BESIDE_CLIENTS = 0.65
-"""Part of its half that clients may hold while one does: most of what both hold is theirs."""
+CLIENT_CLOSE_TIMEOUT_NS = 300 * MS
+"""Maximum time that clients then have to read their responses and to close."""
+RESERVED_DESCRIPTORS = 48
+"""Descriptors reserved for everything except connections of clients and to hosts."""
+CLIENT_SHARE = 0.55
+"""Share of the other descriptors that client connections may use."""
+DESCRIPTORS_PER_CLIENT_REQUEST = 3
+"""Clients' open requests use at most one in this many of all descriptors."""
+DEFAULT_MEMORY_MB = 192
+"""Memory limit if none is configured."""
+BASE_MEMORY_MB = 40
+"""Memory that the process needs without message bodies; two processes share the rest."""
+OTHER_PROCESS_CHECK_INTERVAL_NS = 250 * MS
+"""Interval of the checks for another process of this gateway."""
+SHARED_CLIENT_SHARE = 0.65
+"""Share of this process's half of the descriptors that client connections may use while another process runs: most
+connections of the two processes are clients'."""
 FIRST_LIST_WAIT_NS = 3500 * MS
-"""Longest wait for the list before a process takes clients from another or where lists are pushed, as what discovery
-has counts as told from the first moment: a yes is wanted within 6 s."""
-TOLD_ASKED = 5 * SECOND
-"""And where it is asked: the list of the start is as old as what the process before this one heard last."""
-RELOAD_S = 1.0
-"""A file that can't be read for a reason of the moment is read again for so long."""
+"""Maximum wait for the first list in a takeover and in push mode, where what discovery has is in effect from the first
+moment: the process has to report ready within 6 s."""
+PULL_FIRST_LIST_WAIT_NS = 5 * SECOND
+"""Maximum wait for the first list in pull mode: the configured list is only as recent as the last one that the previous
+process received."""
+MAX_CONFIG_RETRY_S = 1.0
+"""Maximum total delay of retries when the configuration file can't be read because of a transient error."""
 MAX_LOG_LINES_PER_S = 50
-"""Log lines a second: an attacker must not make the gateway spend its time on writing."""
+"""Log lines per second of all loggers: an attacker must not make the gateway spend its time on logging."""
 
 
-class BadConfig(Exception):
-    """A configuration the gateway can't start with."""
+class ConfigError(Exception):
+    """The configuration is missing, unreadable or invalid."""
 
 
-class Unread(BadConfig):
-    """A configuration that could not be read for a reason that passes."""
+class ConfigReadError(ConfigError):
+    """The configuration could not be read because of a transient error."""
 
 
 class Config:
-    """What a gateway is told."""
+    """The gateway's configuration, from a file and environment variables."""
 
     def __init__(self, environ: Mapping[str, str]) -> None:
         try:
             self.path = environ["EDGE_CONFIG"]
             with open(self.path, "rb") as file:
-                told: dict[str, Any] = json.load(file)
-            self.told = told
-            self.listen = host_and_port(environ.get("EDGE_LISTEN") or told["listen"])
-            self.discovery, *self.others = map(host_and_port, str(
-                environ.get("EDGE_DISCOVERY") or told["discovery"]).split(","))
-            self.list_folder = str(environ.get("EDGE_LIST_FOLDER") or told.get("list_folder", ""))
-            self.name = str(environ.get("EDGE_NAME") or told.get("name", ""))
-            self.seed = int(str(told.get("seed", "0")), 16)
-            self.sockets = int(told.get("limits", {}).get("sockets", 1024))
-            self.memory = int(told.get("limits", {}).get("memory_mb", MEMORY)) << 20
-            self.known = told.get("known", {"generation": 0, "reset": True, "instances": []})
-            raw = told["settings"]
-            self.settings: Settings = parse_settings(json.dumps(raw).encode())
-            self.zones = [str(name) for name in raw.get("zones", ())]
-            self.columns = [str(name) for name in raw.get("load-report", {}).get("columns", ())]
-            self.peers = [host_and_port(text) for text in told.get("peers", ())]
-            everyone, own = told.get("peers_all"), told.get("peer_listen")
-            self.peers_all = host_and_port(everyone) if everyone else None
-            self.peer_listen = host_and_port(own) if own else None
-            operator = environ.get("EDGE_OPERATOR") or told.get("operator")
+                raw: dict[str, Any] = json.load(file)
+            self.raw = raw
+            self.listen = host_and_port(environ.get("EDGE_LISTEN") or raw["listen"])
+            self.discovery, *self.other_discoveries = map(host_and_port, str(
+                environ.get("EDGE_DISCOVERY") or raw["discovery"]).split(","))
+            self.list_folder = str(environ.get("EDGE_LIST_FOLDER") or raw.get("list_folder", ""))
+            self.name = str(environ.get("EDGE_NAME") or raw.get("name", ""))
+            self.seed = int(str(raw.get("seed", "0")), 16)
+            self.max_descriptors = int(raw.get("limits", {}).get("sockets", 1024))
+            self.memory_bytes = int(raw.get("limits", {}).get("memory_mb", DEFAULT_MEMORY_MB)) << 20
+            self.known_list = raw.get("known", {"generation": 0, "reset": True, "instances": []})
+            settings = raw["settings"]
+            self.settings: Settings = parse_settings(json.dumps(settings).encode())
+            self.zones = [str(name) for name in settings.get("zones", ())]
+            self.columns = [str(name) for name in settings.get("load-report", {}).get("columns", ())]
+            self.peers = [host_and_port(text) for text in raw.get("peers", ())]
+            peers_all, peer_listen = raw.get("peers_all"), raw.get("peer_listen")
+            self.peers_all = host_and_port(peers_all) if peers_all else None
+            self.peer_listen = host_and_port(peer_listen) if peer_listen else None
+            operator = environ.get("EDGE_OPERATOR") or raw.get("operator")
             self.operator = host_and_port(operator) if operator else None
-            self.kinds = [str(name) for name in raw.get("flavors", ())]
+            self.flavors = [str(name) for name in settings.get("flavors", ())]
         except KeyError as error:
-            raise BadConfig(f"{error} is missing") from None
+            raise ConfigError(f"{error} is missing") from None
         except OSError as error:
-            raise (Unread if error.errno in LOCAL_ERRNOS | DISK else BadConfig)(str(error)) from None
+            raise (ConfigReadError if error.errno in LOCAL_ERRNOS | DISK_ERRNOS else ConfigError)(str(error)) from None
         except (ValueError, TypeError, AttributeError, RecursionError, WireError) as error:
-            raise BadConfig(str(error)) from None
+            raise ConfigError(str(error)) from None
         names = [item.name for item in self.settings.classes]
         if len(set(names)) < len(names):
-            raise BadConfig("two classes of one name")
+            raise ConfigError("two request classes have the same name")
 
-    def follow(self, old: Config) -> None:
-        """Raises BadConfig where this lacks a key that the first one had: guards against half a file."""
-        missing = sorted(_missing(old.told, self.told, ""))
+    def require_keys_of(self, initial: Config) -> None:
+        """Raise ConfigError if a key of the initial configuration is missing, as in a truncated file."""
+        missing = sorted(_missing_keys(initial.raw, self.raw, ""))
         if missing:
-            raise BadConfig(f"{', '.join(missing)} is missing")
+            raise ConfigError(f"{', '.join(missing)} is missing")
 
 
-MAY_GO = frozenset(("operator", "list_folder", "peers", "peers_all", "peer_listen", "aim-stretch", "family-info"))
-"""Keys that a later configuration need not have."""
+OPTIONAL_KEYS = frozenset((
+    "operator", "list_folder", "peers", "peers_all", "peer_listen", "aim-stretch", "family-info"))
+"""Keys that a reloaded configuration may omit."""
 
 
-def _missing(old: Any, new: Any, path: str) -> set[str]:
-    """Keys that the old one has and the new one lacks; what all classes had, all have to have."""
+def _missing_keys(old: Any, new: Any, path: str) -> set[str]:
+    """Return the paths of keys that only the old value has; every class needs the keys that all old classes have."""
     if isinstance(old, dict):
         if not isinstance(new, dict):
             return {path}
-        return {lack for key in old if key not in MAY_GO
-                for lack in (_missing(old[key], new[key], f"{path}.{key}".lstrip(".")) if key in new
+        return {key_path for key in old if key not in OPTIONAL_KEYS
+                for key_path in (_missing_keys(old[key], new[key], f"{path}.{key}".lstrip(".")) if key in new
                              else {f"{path}.{key}".lstrip(".")})}
     if path == "settings.request-classes":
-        keys = set.intersection(*(set(row) for row in old))
-        return {lack for row in new for lack in _missing(dict.fromkeys(keys), row, path)}
+        keys = set.intersection(*(set(item) for item in old))
+        return {key_path for item in new for key_path in _missing_keys(dict.fromkeys(keys), item, path)}
     return set()
 
 
-class _Sparing(logging.Filter):
-    """Lets so many lines a second through."""
+class _LogRateLimit(logging.Filter):
+    """Limits the log lines per second."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -164,39 +168,40 @@
 
 
 class Gateway:
-    """The parts, wired together."""
+    """The gateway's components, wired together."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, make: DecisionsFactory = Balancer,
-                 handover: Handover | None = None, first_list_wait_ns: int = TOLD_ASKED, started_ns: int = 0) -> None:
-        self._waits_ns = first_list_wait_ns   # for the first list, where lists are asked for
+                 handover: Handover | None = None, first_list_wait_ns: int = PULL_FIRST_LIST_WAIT_NS,
+                 started_ns: int = 0) -> None:
+        self._pull_list_wait_ns = first_list_wait_ns   # maximum wait for the first list in pull mode
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self._sockets = min(config.sockets, soft if soft > 0 else config.sockets)
+        self._max_descriptors = min(config.max_descriptors, soft if soft > 0 else config.max_descriptors)
         self._loop = loop
         self._config = config
-        self._beside = False
-        settings = self._settings = self._limited(config.settings)
+        self._other_running = False
+        settings = self._settings = self._with_client_limit(config.settings)
         self._columns = config.columns
         self.timers = Timers(loop)
         self.stats = Stats()
         self.handover = handover or Handover(config.listen)
-        clients, hosts = self._room()
-        self.stream_budget = StreamBudget(self._bytes())
+        max_clients, max_hosts = self._connection_limits()
+        self.stream_budget = StreamBudget(self._stream_budget_bytes())
         self.core = Core(settings, config.seed, self.timers, config.columns, make)
         self.stall_detector = self.core.stall_detector = StallDetector(loop, self.timers)
-        self.upstream = Upstream(loop, self.timers, hosts,
-                                  settings.limits.connect_timeout_ns, settings.limits.conn_idle_ns,
-                                  self.stats, self.stream_budget)
-        self._starts = StartTimes()
-        lines = UpdateParser(config.zones, config.kinds, self._starts)
+        self.upstream = Upstream(loop, self.timers, max_hosts,
+                                 settings.limits.connect_timeout_ns, settings.limits.conn_idle_ns,
+                                 self.stats, self.stream_budget)
+        self._start_times = StartTimes()
+        parser = UpdateParser(config.zones, config.flavors, self._start_times)
         self.discovery: Discovery
-        if config.others or config.list_folder:
+        if config.other_discoveries or config.list_folder:
             from .failover import CachedList, FailoverDiscovery
-            kept = CachedList(config.list_folder, config.name) if config.list_folder else None
-            self.discovery = FailoverDiscovery(loop, self.timers, [config.discovery, *config.others], lines,
-                                      not settings.ask_discovery, self._on_list, kept, settings.rules.drain_grace_ns,
-                                      started_ns)
+            cached_list = CachedList(config.list_folder, config.name) if config.list_folder else None
+            self.discovery = FailoverDiscovery(loop, self.timers, [config.discovery, *config.other_discoveries], parser,
+                                               not settings.ask_discovery, self._on_list, cached_list,
+                                               settings.rules.drain_grace_ns, started_ns)
         else:
-            self.discovery = Discovery(loop, self.timers, config.discovery, lines, not settings.ask_discovery,
+            self.discovery = Discovery(loop, self.timers, config.discovery, parser, not settings.ask_discovery,
                                        self._on_list, settings.rules.drain_grace_ns, started_ns)
         self.core.attach(self.upstream, self.discovery)
         self.upstream.before_send = lambda: self.discovery.read_pending(now_ns())
@@ -205,46 +210,46 @@
         self.discovery.gateway_count = settings.replicas
         self.discovery.read_delay_ns = self.stall_detector.read_delay_ns
         self.stall_detector.on_stall.append(self.discovery.on_stall)
-        self.server = Server(self.core, self.timers, settings, clients, self.stats, self.stream_budget)
-        self.admin = Admin({("GET", "/_ready"): self._ready, ("GET", "/_vars"): self._vars,
-                            ("POST", "/_lameduck/on"): lambda: self._drain(True),
-                            ("POST", "/_lameduck/off"): lambda: self._drain(False)})
+        self.server = Server(self.core, self.timers, settings, max_clients, self.stats, self.stream_budget)
+        self.admin = OperatorServer({("GET", "/_ready"): self._ready, ("GET", "/_vars"): self._vars,
+                                     ("POST", "/_lameduck/on"): lambda: self._set_draining(True),
+                                     ("POST", "/_lameduck/off"): lambda: self._set_draining(False)})
         self._listener: Listener | None = None
-        self._told = asyncio.Event()
-        self._done = asyncio.Event()
-        self._stop_at = 0
-        self._end_at = 0
+        self._list_wait_over = asyncio.Event()
+        self._stopped = asyncio.Event()
+        self._stopping_since_ns = 0
+        self._fail_requests_at_ns = 0
 
     def _on_lease(self) -> None:
-        """The list may be followed again; while discovery is down that of the start has to do."""
+        """The lease was renewed.  While discovery is down, the configured list has to be enough to start serving."""
         if self.discovery.down and self.discovery.may_send(now_ns()):
-            self._told.set()
+            self._list_wait_over.set()
         self.core.on_lease()
 
     async def start(self) -> tuple[str, int]:
-        """Begin to watch and, once clients can be served, to listen; returns the address."""
+        """Start discovery and, once clients can be served, listen; return the bound address."""
         self.stall_detector.start()
         self.handover.register()
-        beside = self._look()
-        # Before anything is waited for: SIGHUP may bring a newer list.
-        self.discovery.load_known_list(self._config.known)
+        other_running = self._check_other_process()
+        # Before the first await: SIGHUP may bring a newer list.
+        self.discovery.load_known_list(self._config.known_list)
         self.discovery.start()
         if self._config.operator is not None:
             self.operator_address = await self.admin.listen(self._loop, self._config.operator)
-            log.info("operators call %s:%d", *self.operator_address)
+            log.info("listening for operators on %s:%d", *self.operator_address)
         self.timers.after(SWEEP_INTERVAL_NS, self._sweep, None)
-        self.timers.after(BESIDE, self._looked, None)
-        # Another one serves meanwhile, where there is one; a bound socket would draw clients at once.
-        waits = FIRST_LIST_WAIT_NS if beside or not self._settings.ask_discovery else self._waits_ns
+        self.timers.after(OTHER_PROCESS_CHECK_INTERVAL_NS, self._check_periodically, None)
+        # Another process, if there is one, serves meanwhile; a bound socket would receive connections at once.
+        wait_ns = FIRST_LIST_WAIT_NS if other_running or not self._settings.ask_discovery else self._pull_list_wait_ns
         try:
-            await asyncio.wait_for(self._told.wait(), waits / SECOND)
+            await asyncio.wait_for(self._list_wait_over.wait(), wait_ns / SECOND)
         except TimeoutError:
-            log.warning("discovery has not told the list: the known one must do")
-        if self._stop_at:   # told to end before it took clients
+            log.warning("no list received from discovery in time, using the configured list")
+        if self._stopping_since_ns:   # SIGTERM arrived before the process accepted clients
             return self._config.listen
         self._listener = await listen_with_retry(self._loop, self._config.listen, self.server.new_connection,
-                                                 shared=True, wanted=lambda: not self._stop_at)
-        self.handover.serving()
+                                                 shared=True, wanted=lambda: not self._stopping_since_ns)
+        self.handover.announce_serving()
         if self._config.settings.limits.peers and self._config.peer_listen is not None:
             self.core.peers = PeerSocket(self._config.peers, self._config.peers_all, self.core.on_peer)
             peers = self.core.peers
@@ -254,203 +259,207 @@
         log.info("listening on %s:%d", *address)
         return address
 
-    async def run(self, early: Sequence[int] = ()) -> None:
-        """Serve until told to stop; `early` is not empty where SIGHUP came before this."""
+    async def run(self, early_signals: Sequence[int] = ()) -> None:
+        """Serve until SIGTERM or SIGINT; `early_signals` is not empty if SIGHUP arrived before this call."""
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self.stop)
-        if early:
+        if early_signals:
             self.reload()
         try:
             await self.start()
         except OSError as error:
-            raise BadConfig(f"can't listen: {error}") from None
-        await self._done.wait()
+            raise ConfigError(f"can't listen: {error}") from None
+        await self._stopped.wait()
 
-    def _on_list(self, kind: ListKind, listed: list[ListedHost]) -> None:
-        self.core.on_list(kind, listed)
+    def _on_list(self, kind: ListKind, hosts: list[ListedHost]) -> None:
+        self.core.on_list(kind, hosts)
         if kind is ListKind.FULL or kind is ListKind.DELTA:
-            self._told.set()
+            self._list_wait_over.set()
 
-    def _room(self) -> tuple[int, int]:
-        """Connections that clients and hosts may hold: two processes share the limits of one gateway."""
-        free = self._sockets // 2 - RESERVE if self._beside else self._sockets - RESERVE
-        part = BESIDE_CLIENTS if self._beside else CLIENTS
-        free = max(16, free)
-        return int(free * part), int(free * (1 - part))
+    def _connection_limits(self) -> tuple[int, int]:
+        """Return the maximum connections of clients and to hosts: two processes share the limits of one gateway."""
+        available = self._max_descriptors // 2 - RESERVED_DESCRIPTORS if self._other_running \
+            else self._max_descriptors - RESERVED_DESCRIPTORS
+        client_share = SHARED_CLIENT_SHARE if self._other_running else CLIENT_SHARE
+        available = max(16, available)
+        return int(available * client_share), int(available * (1 - client_share))
 
-    def _limited(self, settings: Settings) -> Settings:
-        """The settings, and how many requests clients can have open here while two processes share that.
+    def _with_client_limit(self, settings: Settings) -> Settings:
+        """Return the settings with the maximum open requests of clients while two processes share the limits.
 
-        Alone nothing is told: whoever waits is better off than refused, even where others find no connection.
+        A single process has no such maximum: a waiting request is better than a rejected one, even if other clients get
+        no connection.
         """
-        cap = self._sockets // (2 * CLIENTS_MOST) if self._beside else 0
-        return replace(settings, limits=replace(settings.limits, max_client_requests=cap))
-
-    def _bytes(self) -> int:
-        """What long messages may hold: the memory limit but for the program, and half of it while two run."""
-        free = max(self._config.memory - (ITSELF << 20), self._config.memory // 4)
-        return free // 2 if self._beside else free
-
-    def _look(self) -> bool:
-        """Look for another process of this gateway, and hold no more than is left beside it."""
-        beside = self.handover.other_running()
-        if beside != self._beside:
-            log.info("another process of this gateway %s", "runs" if beside else "has ended")
-            self._beside = beside
-            self.server.max_connections, self.upstream.max_connections = self._room()
+        max_requests = self._max_descriptors // (2 * DESCRIPTORS_PER_CLIENT_REQUEST) if self._other_running else 0
+        return replace(settings, limits=replace(settings.limits, max_client_requests=max_requests))
+
+    def _stream_budget_bytes(self) -> int:
+        """Return the memory for streamed bodies: the limit less the process's own memory; two processes share it."""
+        available = max(self._config.memory_bytes - (BASE_MEMORY_MB << 20), self._config.memory_bytes // 4)
+        return available // 2 if self._other_running else available
+
+    def _check_other_process(self) -> bool:
+        """Check for another process of this gateway, and adjust the limits if one has started or ended."""
+        other_running = self.handover.other_running()
+        if other_running != self._other_running:
+            log.info("another process of this gateway %s", "runs" if other_running else "has ended")
+            self._other_running = other_running
+            self.server.max_connections, self.upstream.max_connections = self._connection_limits()
             self.upstream.close_surplus_idle()
-            self.stream_budget.max_bytes = self._bytes()
-            self._settings = self._limited(self._settings)
+            self.stream_budget.max_bytes = self._stream_budget_bytes()
+            self._settings = self._with_client_limit(self._settings)
             self.core.on_settings(self._settings, self._columns)
-        return beside
+        return other_running
 
-    def _looked(self, _: None) -> None:
-        self.timers.after(BESIDE, self._looked, None)
+    def _check_periodically(self, _: None) -> None:
+        self.timers.after(OTHER_PROCESS_CHECK_INTERVAL_NS, self._check_periodically, None)
         self.handover.register()
-        self.handover.tell_serving()
-        self._look()
+        self.handover.write_announcement()
+        self._check_other_process()
 
     def _sweep(self, _: None) -> None:
-        self.timers.after(SWEEP_INTERVAL_NS, self._sweep, None)   # first: one that fails must not be the last
+        self.timers.after(SWEEP_INTERVAL_NS, self._sweep, None)   # first: a failure below must not end the sweeps
         now = now_ns()
-        self._starts.update_offsets()
+        self._start_times.update_offsets()
         self.upstream.sweep(now)
         self.server.sweep(now)
         self.admin.sweep(now)
 
-    def _ready(self) -> Answered:
+    def _ready(self) -> OperatorResponse:
         ready = self._listener is not None and self.server.ready
         return (200, b"ready\n") if ready else (503, b"not ready\n")
 
-    def _drain(self, on: bool) -> Answered:
-        """Send clients away, or take them again; once the program is leaving it stays drained."""
-        if self._stop_at and not on:
+    def _set_draining(self, on: bool) -> OperatorResponse:
+        """Start or stop draining; draining can't be stopped once a shutdown has begun."""
+        if self._stopping_since_ns and not on:
             return 409, b"leaving\n"
         if self.server.draining != on:
-            log.info("clients are sent away" if on else "clients are taken again")
+            log.info("draining started" if on else "draining stopped")
         self.server.draining = on
         return (200, b"draining\n") if on else (200, b"taking clients\n")
 
-    def _vars(self) -> Answered:
-        heard_at = self.discovery.last_received_ns
+    def _vars(self) -> OperatorResponse:
+        last_received_ns = self.discovery.last_received_ns
         return 200, self.stats.render({
             "pending": self.server.pending, "members": self.upstream.host_count,
             "members_unavailable": self.core.members_unavailable(),
-            "discovery_heard_ms_ago": (now_ns() - heard_at) // MS if heard_at else -1,
+            "discovery_heard_ms_ago": (now_ns() - last_received_ns) // MS if last_received_ns else -1,
             "list_generation": self.discovery.generation,
             "list_lease_ms": (self.discovery.lease.until_ns - now_ns()) // MS,
             "hold_ups": self.stall_detector.count, "hold_ups_ms": self.stall_detector.total_ns // MS,
             "hold_up_longest_ms": self.stall_detector.longest_ns // MS})
 
     def reload(self) -> None:
-        """SIGHUP: settings may have changed, discovery moved; a file that is not right changes nothing."""
+        """Handle SIGHUP: apply new settings and discovery addresses; an invalid file changes nothing."""
         self.discovery.on_reload()
-        self._reload(pauses(RELOAD_S))
-
-    def _reload(self, again: Iterator[float]) -> None:
-        try:   # the file alone: what the environment says of discovery is from the start
-            told = Config({"EDGE_CONFIG": self._config.path})
-            told.follow(self._config)
-        except BadConfig as error:
-            pause = next(again, None) if isinstance(error, Unread) else None
-            if pause is not None:
-                log.info("SIGHUP: the file is read again: %s", error)
-                self.timers.after(int(pause * SECOND), self._reload, again)
+        self._reload(backoff_delays(MAX_CONFIG_RETRY_S))
+
+    def _reload(self, delays: Iterator[float]) -> None:
+        try:   # without the environment: its discovery address is that of the start
+            config = Config({"EDGE_CONFIG": self._config.path})
+            config.require_keys_of(self._config)
+        except ConfigError as error:
+            delay_s = next(delays, None) if isinstance(error, ConfigReadError) else None
+            if delay_s is not None:
+                log.info("SIGHUP: can't read the configuration, will retry: %s", error)
+                self.timers.after(int(delay_s * SECOND), self._reload, delays)
                 return
             self.stats.config_reload_errors += 1
             log.warning("SIGHUP: the configuration stays as it was: %s", " ".join(str(error).split()))
             return
         self.stats.config_reloads += 1
-        log.info("SIGHUP: discovery is at %s:%d", *told.discovery)
-        settings = self._settings = self._limited(told.settings)
+        log.info("SIGHUP: discovery is at %s:%d", *config.discovery)
+        settings = self._settings = self._with_client_limit(config.settings)
         self.server.on_settings(settings)
         self.upstream.on_settings(settings.limits.connect_timeout_ns, settings.limits.conn_idle_ns)
-        self._columns = told.columns
-        self.core.on_settings(settings, told.columns)
+        self._columns = config.columns
+        self.core.on_settings(settings, config.columns)
         self.discovery.update_settings(not settings.ask_discovery, settings.rules.drain_grace_ns)
-        self.discovery.reconfigure(told.discovery, UpdateParser(told.zones, told.kinds, self._starts),
-                            not settings.ask_discovery, told.others)
+        self.discovery.reconfigure(config.discovery, UpdateParser(config.zones, config.flavors, self._start_times),
+                                   not settings.ask_discovery, config.other_discoveries)
 
     def stop(self) -> None:
-        """SIGTERM: unready at once, but what crosses it on the way is still taken and answered."""
-        if self._stop_at:
+        """Handle SIGTERM: report not ready at once, but still serve clients that connect before they notice it."""
+        if self._stopping_since_ns:
             return
         now = now_ns()
-        # SIGKILL's time runs from the signal, which may have come as early as a stop of this process began.
-        self._stop_at = now - self.stall_detector.read_delay_ns(now)
-        # By what holds now: neither what is held nor SIGKILL waits for settings that come later.
-        longest = max([item.deadline_ns for item in self._settings.classes] + [self.core.max_time_left(now)])
-        self._end_at = self._stop_at + min(longest, LEAVE_MOST) + LEAVE_MORE
-        self._told.set()
-        self._drain(True)
+        # The time until SIGKILL starts with the signal, which may have arrived at the start of an event-loop stall.
+        self._stopping_since_ns = now - self.stall_detector.read_delay_ns(now)
+        # By the current settings: neither open requests nor SIGKILL wait for later settings.
+        max_time_left_ns = max([cls.deadline_ns for cls in self._settings.classes] + [self.core.max_time_left(now)])
+        self._fail_requests_at_ns = (self._stopping_since_ns + min(max_time_left_ns, MAX_SHUTDOWN_DEADLINE_NS)
+                                     + SHUTDOWN_MARGIN_NS)
+        self._list_wait_over.set()
+        self._set_draining(True)
         self.server.taken_over = self.handover.other_serving()
         if self.server.taken_over:
             log.info("another process takes the clients")
             self._stop_listening(None)
         else:
-            self.timers.at(min(now + CROSSING, self._end_at), self._stop_listening, None)
+            self.timers.at(min(now + ACCEPT_AFTER_SIGTERM_NS, self._fail_requests_at_ns), self._stop_listening, None)
 
     def _stop_listening(self, _: None) -> None:
         if self._listener is not None:
             self._listener.close()
-        self._leave(None)
+        self._exit_when_idle(None)
 
-    def _leave(self, _: None) -> None:
-        """End once nothing is owed any more; every request has a deadline, so this ends."""
+    def _exit_when_idle(self, _: None) -> None:
+        """Exit once no connection is open; terminates because every request has a deadline."""
         now = now_ns()
-        if now > self._end_at:
+        if now > self._fail_requests_at_ns:
             self.core.fail_all()
             self.server.shut_down()
-        opening = self._listener is not None and self._listener.has_pending
-        if not (self.server.connection_count or opening) or now > self._end_at + LEAVE_LAST:
+        accepting = self._listener is not None and self._listener.has_pending
+        if not (self.server.connection_count or accepting) or now > self._fail_requests_at_ns + CLIENT_CLOSE_TIMEOUT_NS:
             self.handover.close()
             self.admin.close()
             self.discovery.close()
             self.upstream.close()
             if self.core.peers is not None:
                 self.core.peers.close()
-            self._done.set()
+            self._stopped.set()
         else:
-            self.timers.after(20 * MS, self._leave, None)
+            self.timers.after(20 * MS, self._exit_when_idle, None)
 
 
-def _first_config() -> Config:
-    """The configuration at the start; raises BadConfig."""
-    for pause in pauses(RELOAD_S):
+def _initial_config() -> Config:
+    """Read the configuration at startup.  Raises ConfigError."""
+    for delay_s in backoff_delays(MAX_CONFIG_RETRY_S):
         try:
             return Config(os.environ)
-        except Unread:
-            time.sleep(pause)
+        except ConfigReadError:
+            time.sleep(delay_s)
     return Config(os.environ)
 
 
-async def _main(config: Config, handover: Handover | None, early: list[int]) -> None:
+async def _main(config: Config, handover: Handover | None, early_signals: list[int]) -> None:
     loop = asyncio.get_running_loop()
-    await Gateway(config, loop, handover=handover, started_ns=process_started_ns()).run(early)
+    await Gateway(config, loop, handover=handover, started_ns=process_started_ns()).run(early_signals)
 
 
 def main(handover: Handover | None = None) -> int:
-    """Run as a program; 0 after SIGTERM, 2 if the configuration is of no use.
+    """Run the gateway; return 0 after SIGTERM, 1 if it can't listen, 2 if the configuration is invalid.
 
-    `handover` is this process's file where it has one: given up and made anew it would be gone for a moment, in which
-    the other process takes itself to be alone.
+    `handover` is this process's file if it has one already.  If it were removed and created again, the
+    other process would in between find no other process running.
     """
-    early: list[int] = []   # its default would end the program, and the file that is read next may be the old one
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    early_signals: list[int] = []   # SIGHUP's default ends the process; the file read next may still be the old one
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
     handler = logging.StreamHandler()
-    handler.addFilter(_Sparing())
+    handler.addFilter(_LogRateLimit())
     logging.basicConfig(level=logging.INFO, handlers=[handler], format="%(asctime)s %(name)s %(message)s")
     try:
-        config = _first_config()
-    except BadConfig as error:
+        config = _initial_config()
+    except ConfigError as error:
         print(f"gateway: EDGE_CONFIG: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
-    gc.freeze()   # what is loaded by now lives as long as the process: the collector need not look again
+    gc.freeze()   # objects loaded by now live as long as the process: excluded from garbage collection
     gc.set_threshold(50_000, 20, 50)
     try:
-        uvloop.run(_main(config, handover, early), loop_factory=lambda: persistently_at_once(uvloop.new_event_loop))
-    except BadConfig as error:
+        uvloop.run(_main(config, handover, early_signals),
+                   loop_factory=lambda: retry_before_loop(uvloop.new_event_loop))
+    except ConfigError as error:
         print(f"gateway: {error}", file=sys.stderr)
         return 1
     return 0
--- a/gateway/syscalls.py
+++ b/gateway/syscalls.py
@@ -1,7 +1,7 @@
-"""What the kernel holds of a connection that the loop has not read yet.
+"""Direct system calls on sockets, for data and state that the event loop has not read yet; the process's start time.
 
-A close over unread bytes is a reset, and what is written to a connection whose other side has ended is lost: both
-are asked about in the very moment that decides.
+Closing a connection with unread bytes resets it, and data written to a connection that the peer has closed is lost:
+the state of the connection is therefore queried immediately before each such decision.
 """
 
 from __future__ import annotations
@@ -13,62 +13,64 @@
 
 from .timers import now_ns
 
-STARTING = 250_000_000
-"""What a process may have needed to come so far, ns, where the kernel does not tell."""
-STARTING_MOST = 60 * 1_000_000_000
-"""A process that began to serve later than this after its start would be an error of reading, ns."""
+DEFAULT_AGE_NS = 250_000_000
+"""Assumed age of the process at startup, if the kernel does not report it."""
+MAX_AGE_NS = 60 * 1_000_000_000
+"""A greater age of the process at startup is taken for an error in reading it."""
 
 
 def process_started_ns() -> int:
-    """When the kernel started this process, by the monotonic clock (proc(5), field 22: in clock ticks since the boot).
+    """Return when the kernel started this process, on the monotonic clock.
+
+    Field 22 of /proc/self/stat (proc(5)) has the start in clock ticks since boot.
     """
     now = now_ns()
     try:
         with open("/proc/self/stat", "rb") as file:
             fields = file.read().rpartition(b")")[2].split()
-        since_boot = int(fields[19]) * 1_000_000_000 // os.sysconf("SC_CLK_TCK")
-        age = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - since_boot
+        started_after_boot_ns = int(fields[19]) * 1_000_000_000 // os.sysconf("SC_CLK_TCK")
+        age_ns = time.clock_gettime_ns(time.CLOCK_BOOTTIME) - started_after_boot_ns
     except (OSError, ValueError, IndexError):
-        age = STARTING
-    return now - (age if 0 <= age < STARTING_MOST else STARTING)
+        age_ns = DEFAULT_AGE_NS
+    return now - (age_ns if 0 <= age_ns < MAX_AGE_NS else DEFAULT_AGE_NS)
 
 
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-"""The other side has ended its sending, behind whatever is still unread."""
+"""The peer has shut down its sending side; unread data may still precede the end."""
 CONNECTION_LOST_EVENTS = select.POLLHUP | select.POLLERR
-"""The connection is gone both ways."""
+"""The connection is closed in both directions."""
 
 
 def pending_events(transport: asyncio.BaseTransport) -> int:
-    """What `poll` says of an open connection: 0 where nothing waits, neither bytes nor an end."""
+    """Return the `poll` events of an open connection; 0 if neither bytes nor an end of the stream are pending."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
     return sum(events for _, events in poll.poll(0))
 
 
-AT_ONCE = 256 * 1024
-"""Most that is read ahead of the loop in one call, bytes."""
+MAX_READ_BYTES = 256 * 1024
+"""Maximum that one call reads ahead of the event loop."""
 
 
 def read_available(transport: asyncio.BaseTransport) -> bytes:
-    """What waits at an open connection, ahead of the loop's turn; nothing where nothing does or it has ended.
+    """Read the pending bytes of an open connection ahead of the event loop; empty if there are none or it has ended.
 
-    An end or an error is left to the loop, which sees an end in either case.
+    The end of the stream or an error is left to the event loop, which sees an end in either case.
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
         return b""
     try:
-        return os.read(sock.fileno(), AT_ONCE)
+        return os.read(sock.fileno(), MAX_READ_BYTES)
     except OSError:
         return b""
 
 
 def write_before(fd: int, data: bytes, until_ns: int) -> int:
-    """Write to a connection of which nothing is buffered, unless the time is over; how many bytes were taken.
+    """Write to a connection without buffered data, unless the time is past; return the number of bytes written.
 
-    -1 where it is over.  0 where the connection takes none now or is broken: its transport meets the same and tells.
-    Nothing stands between the look at the clock and the call.
+    Returns -1 if the time is past.  Returns 0 if the connection accepts no data now or is broken: its transport gets
+    the same error and reports it.  No other code runs between reading the clock and the system call.
     """
     try:
         return os.write(fd, data) if now_ns() <= until_ns else -1
--- a/gateway/timers.py
+++ b/gateway/timers.py
@@ -1,7 +1,8 @@
-"""The clock and the one heap of timers.
+"""The monotonic clock, and timers kept in one heap.
 
-The loop rings timers before it reads its sockets.  After a hold-up that is the wrong order: answers, lists and ends of
-connections that have long come would be judged missing.  So a timer that rings late first lets the loop read once.
+The event loop runs expired timers before it polls its sockets.  After an event-loop stall that is the wrong order:
+responses, lists and closed connections that have already arrived would be treated as missing.  A timer that fires late
+therefore lets the loop poll its sockets once before its callback runs.
 """
 
 from __future__ import annotations
@@ -15,59 +16,59 @@
 __all__ = ["LATE_TIMER_NS", "NO_DEADLINE_NS", "Timers", "now_ns"]
 
 NO_DEADLINE_NS = 1 << 62
-"""The time of what has no deadline."""
+"""The time value of "no deadline"."""
 LATE_TIMER_NS = 25_000_000
-"""A timer that rings later than this, ns, tells that the loop was held up."""
+"""A timer that fires later than this indicates an event-loop stall."""
 
 
-READ_S = 0.001
-"""The least wait after which the loop has read its sockets: a wait of 0 would be over before that."""
+POLL_DELAY_S = 0.001
+"""Shortest timer after which the loop has polled its sockets: a timer of 0 would expire before that."""
 
 
 class Timers:
-    """Calls at monotonic times, from one heap behind one timer of the loop; none rings early."""
+    """Runs callbacks at monotonic times, from one heap behind one timer of the loop; none runs early."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._heap: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self._count = 0
-        self._armed: asyncio.TimerHandle | None = None
-        self._armed_for = 0
-        self._reads_first = False   # what is due rings once the loop has read what waits
+        self._loop_timer: asyncio.TimerHandle | None = None
+        self._loop_timer_due_ns = 0
+        self._polls_first = False   # expired callbacks run after the loop has polled its sockets
 
     def after(self, delay_ns: int, call: Callable[[Any], None], argument: Any) -> None:
-        """Call once so much time has passed."""
+        """Call `call(argument)` after the delay."""
         self.at(now_ns() + delay_ns, call, argument)
 
     def at(self, due_ns: int, call: Callable[[Any], None], argument: Any) -> None:
-        """Call at this time.  What is no longer wanted is known by its argument and rings in vain."""
+        """Call `call(argument)` at a time.  Timers can't be cancelled: a callback ignores an obsolete argument."""
         self._count += 1
         heappush(self._heap, (due_ns, self._count, call, argument))
-        if self._armed is None or due_ns < self._armed_for:
-            self._arm()
+        if self._loop_timer is None or due_ns < self._loop_timer_due_ns:
+            self._schedule()
 
-    def _arm(self) -> None:
-        if self._reads_first and self._armed is not None:
+    def _schedule(self) -> None:
+        if self._polls_first and self._loop_timer is not None:
             return
-        if self._armed is not None:
-            self._armed.cancel()
-        self._armed_for = self._heap[0][0]
-        wait = max(0, self._armed_for - now_ns())
-        millis = -(-wait // 1_000_000)   # the loop counts in milliseconds: rounded up, or it would ring early
-        self._armed = self._loop.call_later(millis / 1000, self._ring)
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer_due_ns = self._heap[0][0]
+        wait_ns = max(0, self._loop_timer_due_ns - now_ns())
+        wait_ms = -(-wait_ns // 1_000_000)   # the loop counts in milliseconds: rounded up, or it would fire early
+        self._loop_timer = self._loop.call_later(wait_ms / 1000, self._fire)
 
-    def _ring(self) -> None:
-        self._armed = None
+    def _fire(self) -> None:
+        self._loop_timer = None
         heap, now = self._heap, now_ns()
-        if now - self._armed_for > LATE_TIMER_NS and not self._reads_first:
-            self._reads_first = True
-            self._armed = self._loop.call_later(READ_S, self._ring)
+        if now - self._loop_timer_due_ns > LATE_TIMER_NS and not self._polls_first:
+            self._polls_first = True
+            self._loop_timer = self._loop.call_later(POLL_DELAY_S, self._fire)
             return
-        self._reads_first = False
+        self._polls_first = False
         try:
             while heap and heap[0][0] <= now:
                 _, _, call, argument = heappop(heap)
                 call(argument)
         finally:
-            if heap and self._armed is None:
-                self._arm()
+            if heap and self._loop_timer is None:
+                self._schedule()
--- a/gateway/transient.py
+++ b/gateway/transient.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment: which errors pass by themselves, and the calls that are made again."""
+"""Transient errors of system calls: which errors are transient, and calls that are retried."""
 
 from __future__ import annotations
 
@@ -16,74 +16,74 @@
 
 LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR,
                           errno.EADDRNOTAVAIL))
-"""This machine lacks something for the moment; nobody else is to blame."""
+"""Local errors: this machine temporarily lacks a resource; the remote side is not the cause."""
 ACCEPT_ERRNOS = frozenset((errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.EPERM, errno.ENETDOWN,
                            errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP,
                            errno.ENETUNREACH))
-"""`accept` lost one connection; the next may be whole (accept(2))."""
-DISK = frozenset((errno.ENOSPC, errno.EIO, errno.EDQUOT))
-FIRST_S = 0.02
-LONGEST_S = 0.2
-START_S = 8.0
-"""A start goes on trying for so long: it is to be ready within 10 s."""
-TAKEN_S = 2.0
-"""An address that is taken may be that of a process that is just ending; for so long it is waited for."""
-MOST_LOST = 256
-"""Failures of `accept` after which nothing more is taken."""
+"""Errors of `accept` that concern one connection only; the next connection may be intact (accept(2))."""
+DISK_ERRNOS = frozenset((errno.ENOSPC, errno.EIO, errno.EDQUOT))
+MIN_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 0.2
+MAX_STARTUP_RETRY_S = 8.0
+"""Maximum total delay of retries at startup: the process has to be ready within 10 s."""
+MAX_ADDRESS_IN_USE_S = 2.0
+"""Maximum total delay of retries while an address is in use: a process that is ending may still hold it."""
+MAX_ACCEPT_FAILURES = 256
+"""Failures of `accept` after which no more pending connections are accepted."""
 
 Result = TypeVar("Result")
 
 
-def pauses(most_s: float) -> Iterator[float]:
-    """Doubling pauses, seconds, so many of them as fit into `most_s`."""
-    pause, left = FIRST_S, most_s
-    while pause <= left:
-        yield pause
-        left -= pause
-        pause = min(2 * pause, LONGEST_S)
+def backoff_delays(max_total_s: float) -> Iterator[float]:
+    """Yield doubling backoff delays, in seconds, whose sum is at most `max_total_s`."""
+    delay_s, left_s = MIN_BACKOFF_S, max_total_s
+    while delay_s <= left_s:
+        yield delay_s
+        left_s -= delay_s
+        delay_s = min(2 * delay_s, MAX_BACKOFF_S)
 
 
-def passes(error: OSError, waited_s: float) -> bool:
-    """Whether a start that has waited so long tries once more."""
+def is_retryable(error: OSError, waited_s: float) -> bool:
+    """Return whether a startup call whose retries have taken `waited_s` so far is tried again."""
     if error.errno == errno.EADDRINUSE:
-        return waited_s < TAKEN_S
-    return error.errno in LOCAL_ERRNOS or error.errno in DISK
+        return waited_s < MAX_ADDRESS_IN_USE_S
+    return error.errno in LOCAL_ERRNOS or error.errno in DISK_ERRNOS
 
 
 async def retry_at_startup(call: Callable[[], Awaitable[Result]], wanted: Callable[[], bool]) -> Result:
-    """Make a call of the start until it succeeds.
+    """Retry a startup call until it succeeds.
 
-    Raises OSError: what does not pass, does not pass in time, or is wanted no longer.
+    Raises OSError if the error is not transient, persists too long, or the result is no longer wanted.
     """
-    waited = 0.0
-    for pause in pauses(START_S):
+    waited_s = 0.0
+    for delay_s in backoff_delays(MAX_STARTUP_RETRY_S):
         try:
             return await call()
         except OSError as error:
-            if not wanted() or not passes(error, waited):
+            if not wanted() or not is_retryable(error, waited_s):
                 raise
             event(log, "call_failed", errno=error.errno, why=error.strerror)
-        await asyncio.sleep(pause)
-        waited += pause
+        await asyncio.sleep(delay_s)
+        waited_s += delay_s
     return await call()
 
 
-def persistently_at_once(call: Callable[[], Result], most_s: float = START_S) -> Result:
-    """The same where no loop runs yet."""
-    waited = 0.0
-    for pause in pauses(most_s):
+def retry_before_loop(call: Callable[[], Result], max_total_s: float = MAX_STARTUP_RETRY_S) -> Result:
+    """Like `retry_at_startup`, for calls made before an event loop runs."""
+    waited_s = 0.0
+    for delay_s in backoff_delays(max_total_s):
         try:
             return call()
         except OSError as error:
-            if not passes(error, waited):
+            if not is_retryable(error, waited_s):
                 raise
-        time.sleep(pause)
-        waited += pause
+        time.sleep(delay_s)
+        waited_s += delay_s
     return call()
 
 
 def bind_socket(address: tuple[str, int], shared: bool) -> socket.socket:
-    """A socket that listens nowhere yet; `shared`: another process of this gateway may listen there too."""
+    """Bind a socket without listening yet; if `shared`, another process of this gateway may use the same address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
@@ -99,16 +99,16 @@
 
 
 def accept_pending(listener: socket.socket) -> list[socket.socket]:
-    """All connections that wait at a listener; those that were lost on the way are passed over."""
-    found = []
-    lost = 0
-    while lost < MOST_LOST:
+    """Accept all pending connections of a listener; connections that were lost before that are skipped."""
+    connections = []
+    failures = 0
+    while failures < MAX_ACCEPT_FAILURES:
         try:
-            found.append(listener.accept()[0])
+            connections.append(listener.accept()[0])
         except BlockingIOError:
             break
         except OSError as error:
             if error.errno not in ACCEPT_ERRNOS and error.errno not in LOCAL_ERRNOS:
                 break
-            lost += 1
-    return found
+            failures += 1
+    return connections
