--- a/moleworks/duties/__init__.py
+++ b/moleworks/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one process holds at a time: leases with fencing tokens on the store."""
+"""Duties: named leases with fencing tokens on the store, each held by at most one process at a time."""
--- a/moleworks/duties/holder.py
+++ b/moleworks/duties/holder.py
@@ -1,4 +1,4 @@
-"""Holding a duty: acquire it, renew it, and stop by one's own clock before it can pass on."""
+"""Acquires and renews a duty, and stops by the local clock before another process can acquire it."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 
 log = logs.get("duty")
 
-RENEW = 3.0
-"""A lease is renewed so many times in its length."""
-STOP = 0.25
-"""The last part of a lease in which what runs under it must already end."""
+RENEWALS_PER_LEASE = 3.0
+"""Renewals per lease duration."""
+STOP_FRACTION = 0.25
+"""Last fraction of a lease, reserved for ending the work that depends on it."""
 
 
 class Holder:
-    """One process that wants one duty."""
+    """A process's candidacy for one duty."""
 
     def __init__(self, client: Client, duty: str, name: str, ttl_ms: int) -> None:
         self._client, self.duty, self.name, self.ttl_ms = client, duty, name, ttl_ms
         self.held: Held | None = None
 
     def holds(self) -> bool:
-        """Whether it may act now; look before each act."""
+        """Whether the duty is held now; must be checked before each action."""
         return self.held is not None and self.held.holds(time.monotonic_ns())
 
     async def acquire(self) -> Held:
-        """Ask until it is granted: at once when the grant changes, and now and then."""
+        """Tries until the duty is granted: immediately when the grant changes, and periodically."""
         changed = asyncio.Event()
-        watching = asyncio.create_task(self._watch(changed))
+        watching = asyncio.create_task(self._watch_grant(changed))
         try:
-            return await self._ask(changed)
+            return await self._try_until_granted(changed)
         finally:
             watching.cancel()
 
-    async def _watch(self, changed: asyncio.Event) -> None:
-        """On a connection of its own, so that its loss disturbs no call."""
+    async def _watch_grant(self, changed: asyncio.Event) -> None:
+        """Watches the grant on a separate connection, so that a lost watch does not disturb calls."""
         with contextlib.suppress(Refused):
             async with self._client.clone() as client:
                 async for row in client.watch_duty(self.duty):
                     if row is None or row.to == self.name:
                         changed.set()
 
-    async def _ask(self, changed: asyncio.Event) -> Held:
+    async def _try_until_granted(self, changed: asyncio.Event) -> Held:
         while True:
             changed.clear()
             sent = time.monotonic_ns()
@@ -71,27 +71,27 @@
                     await changed.wait()
 
     async def renew_until_lost(self, until: Callable[[], bool] = lambda: False) -> str:
-        """Renew until it is lost, its time is nearly out, or `until` says so; returns why it ended."""
+        """Renews until the grant is lost, its lease nearly expired, or `until` returns true; returns the reason."""
         held = self.held
         assert held is not None
         while not until():
             left = (held.expires_at - time.monotonic_ns()) / 1e9
-            if left < self.ttl_ms / 1000 * STOP:
+            if left < self.ttl_ms / 1000 * STOP_FRACTION:
                 return "no renewal in time"
             sent = time.monotonic_ns()
             try:
-                async with asyncio.timeout(left - self.ttl_ms / 1000 * STOP + 0.001):
+                async with asyncio.timeout(left - self.ttl_ms / 1000 * STOP_FRACTION + 0.001):
                     result = await self._client.renew(self.duty, held.token)
                 if not result.done:
                     return result.why
                 held.on_renewed(sent)
             except (Unavailable, TimeoutError):
                 continue
-            await asyncio.sleep(self.ttl_ms / 1000 / RENEW)
+            await asyncio.sleep(self.ttl_ms / 1000 / RENEWALS_PER_LEASE)
         return "done"
 
     async def release(self, to: str = "") -> None:
-        """Stop first, then say so; with `to` only that successor may have it within the lease."""
+        """Stops acting, then releases the duty; with `to`, only that successor may acquire it within the lease."""
         held, self.held = self.held, None
         if held is not None:
             try:
@@ -101,35 +101,36 @@
 
 
 async def run(holder: Holder, command: Sequence[str]) -> int:
-    """Hold the duty, run the command under it, and end it before the duty can pass on; its exit code, or 75.
+    """Acquires the duty and runs the command while it is held.  Returns its exit code, or 75 if the duty is lost.
 
-    A keeper that is killed takes its command along: nobody would end that in time any more.
+    The command is ended before another process can acquire the duty.  It is killed along with this process, because
+    nothing else could end it in time.
     """
     held = await holder.acquire()
     process = await asyncio.create_subprocess_exec(*command, start_new_session=True, preexec_fn=die_with_parent,
-                                                   env=_environ(holder, held.token))
+                                                   env=_environment(holder, held.token))
     keeping = asyncio.create_task(holder.renew_until_lost())
     waiting = asyncio.create_task(process.wait())
     try:
         await asyncio.wait((keeping, waiting), return_when=asyncio.FIRST_COMPLETED)
         if not waiting.done():
             log.error("duty_lost", duty=holder.duty, why=keeping.result())
-            await _end(process, (held.expires_at - time.monotonic_ns()) / 1e9)
+            await _terminate(process, (held.expires_at - time.monotonic_ns()) / 1e9)
             return 75
         return await waiting
     finally:
         keeping.cancel()
         if process.returncode is None:
-            await _end(process, 1.0)
+            await _terminate(process, 1.0)
         await holder.release()
 
 
-def _environ(holder: Holder, token: int) -> dict[str, str]:
+def _environment(holder: Holder, token: int) -> dict[str, str]:
     return {**os.environ, "MOLEWORKS_DUTY": holder.duty, "MOLEWORKS_TOKEN": str(token)}
 
 
-async def _end(process: asyncio.subprocess.Process, left_s: float) -> None:
-    """SIGTERM, and SIGKILL in time, to all that the command has started."""
+async def _terminate(process: asyncio.subprocess.Process, left_s: float) -> None:
+    """Sends SIGTERM to the command's process group, then SIGKILL after half of the time left."""
     for number, wait in ((signal.SIGTERM, max(0.01, left_s * 0.5)), (signal.SIGKILL, 5.0)):
         try:
             os.killpg(process.pid, number)
--- a/moleworks/gossip/__init__.py
+++ b/moleworks/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there and what they share, without a majority, every value with its greatest age."""
+"""Membership and shared values by gossip, without a quorum; each value comes with an upper bound of its age."""
--- a/moleworks/gossip/core.py
+++ b/moleworks/gossip/core.py
@@ -1,6 +1,7 @@
-"""One member's mind: probes, suspicion, rumors, and the exchange of values.  No I/O; the caller's monotonic `now`, ns.
+"""Failure detection, dissemination and anti-entropy of one member.  No I/O; `now` is the caller's monotonic time in ns.
 
-SWIM as published, with Lifeguard's local health: a member whose own probes fail waits longer before it suspects others.
+Implements SWIM as published, with Lifeguard's local health: a member whose own probes fail waits longer before it
+suspects others.
 """
 
 from __future__ import annotations
@@ -27,30 +28,30 @@
     Rumor,
     State,
 )
-from .values import JUMP, LIVES, NEVER_NS, STEP, Values
+from .values import MAX_FIRST_LIFE, MAX_LIFE_STEP, MAX_VERSION_STEP, NEVER_NS, Values
 
 MS = 1_000_000
-MEMBERS = 1000
-RUMORS, RUMOR_TIMES = 6, 4
-"""Rumors in a message; each is told so many times the logarithm of the fleet."""
-STATES_EACH, ROOM = 40, 1100
-"""States in a part of a vector; bytes of entries in a message."""
-OUT = 64
-"""Questions that wait for an answer; older ones are forgotten."""
+MAX_MEMBERS = 1000
+MAX_RUMORS, RUMOR_TRANSMISSIONS = 6, 4
+"""Maximum rumors per message; transmissions of each rumor, times the logarithm (2) of the fleet's size."""
+MAX_DIGEST_STATES, MAX_DELTA_BYTES = 40, 1100
+"""Maximum states per digest message; maximum bytes of entries per delta message."""
+MAX_PENDING_REQUESTS = 64
+"""Maximum pending digest requests; beyond it the oldest are dropped."""
 
 
 class Timers(Struct, frozen=True):
-    """ns."""
+    """Durations in ns unless noted."""
 
-    probe: int = 1000 * MS
-    answer: int = 300 * MS       # before others are asked to probe for this one
-    suspect: int = 5             # probes, times the logarithm (10) of the fleet and the local health, to refute in
-    ask: int = 200 * MS
-    helpers: int = 3
+    probe: int = 1000 * MS       # probe interval
+    answer: int = 300 * MS       # time-out of a direct probe, after which indirect ones are sent
+    suspect: int = 5             # probe intervals, times logarithm (10) of the fleet and health, to refute a suspicion
+    ask: int = 200 * MS          # mean interval of digest requests
+    helpers: int = 3             # members that probe indirectly
 
 
 class Peer(Struct):
-    """What is known of a member."""
+    """The known state of another member."""
 
     address: str
     incarnation: int
@@ -58,65 +59,65 @@
     since: int
 
 
-class _Asked(Struct):
+class _PendingRequest(Struct):
     whom: str
     at: int
 
 
 class Core:
-    """One member."""
+    """The protocol state of one member."""
 
     def __init__(self, name: str, address: str, now: int, rng: random.Random,
                  send: Callable[[str, Message], None], timers: Timers | None = None) -> None:
-        """`send(address, message)` hands out a datagram."""
+        """`send(address, message)` sends a datagram."""
         self.name, self.address = name, address
         self._rng, self._send = rng, send
         self.timers = timers or Timers()
-        self.values = Values(name, rng.randrange(1, LIVES))
+        self.values = Values(name, rng.randrange(1, MAX_FIRST_LIFE))
         self.incarnation = 1
         self.peers: dict[str, Peer] = {}
-        self.health = 0                       # 0: well; up to 8
-        self._numbers = rng.getrandbits(40)   # an answer to an earlier life of this name must not fit a question of now
-        self._order: list[str] = []           # whom to probe next: each once a round, in an order drawn anew
-        self._probing: tuple[int, str, int, bool] | None = None    # number, whom, sent, helpers asked
-        self._rumors: dict[str, int] = {}     # of whom there is something to tell, and how often yet
-        self._digest_requests: dict[int, _Asked] = {}
-        self._pending: dict[str, tuple[int, int, int]] = {}   # owner: version that is being fetched, and its moment
-        self._probe_at = now + rng.randrange(self.timers.probe)
-        self._ask_at = now + rng.randrange(self.timers.ask)
+        self.health = 0                       # Lifeguard's local health: 0 (healthy) to 8
+        self._last_number = rng.getrandbits(40)    # random: replies to an earlier run must not match
+        self._probe_order: list[str] = []     # members left to probe in this round; reshuffled every round
+        self._current_probe: tuple[int, str, int, bool] | None = None    # number, member, sent, indirect probes sent
+        self._rumors: dict[str, int] = {}     # by member: transmissions left
+        self._digest_requests: dict[int, _PendingRequest] = {}
+        self._pending_deltas: dict[str, tuple[int, int, int]] = {}   # by owner: life, count and time requested
+        self._next_probe_at = now + rng.randrange(self.timers.probe)
+        self._next_digest_request_at = now + rng.randrange(self.timers.ask)
         self.leaving = False
-        self.failures = 0                     # members that were declared dead here
+        self.failures = 0                     # members that this one has declared dead
 
     # ---- Members -----------------------------------------------------------------------------------------
 
     def join(self, now: int, seeds: list[tuple[str, str]]) -> None:
-        """Names and addresses of some who may be there."""
+        """Adds seeds (name, address) and announces this member."""
         for name, address in seeds:
-            if name != self.name and len(self.peers) < MEMBERS:
+            if name != self.name and len(self.peers) < MAX_MEMBERS:
                 self.peers.setdefault(name, Peer(address, 0, ALIVE, now))
-        self._spread(self.name)
+        self._enqueue_rumor(self.name)
 
     def leave(self, now: int) -> None:
-        """Say so to some; others hear it from them."""
+        """Announces the departure to some members, which spread it."""
         self.leaving = True
-        self._spread(self.name)
-        for name in self._some(self.timers.helpers + 2):
+        self._enqueue_rumor(self.name)
+        for name in self._random_members(self.timers.helpers + 2):
             self._ping(now, name)
 
     def alive(self) -> list[str]:
-        """Members that are thought to be there, this one among them."""
+        """Members that are alive or suspected, including this one."""
         return [self.name, *(name for name, peer in self.peers.items() if peer.state in (ALIVE, SUSPECT))]
 
-    def _some(self, count: int, but: str = "") -> list[str]:
-        names = [name for name, peer in self.peers.items() if peer.state in (ALIVE, SUSPECT) and name != but]
+    def _random_members(self, count: int, excluded: str = "") -> list[str]:
+        names = [name for name, peer in self.peers.items() if peer.state in (ALIVE, SUSPECT) and name != excluded]
         return self._rng.sample(names, min(count, len(names)))
 
-    def _spread(self, name: str) -> None:
-        self._rumors[name] = RUMOR_TIMES * max(1, len(self.peers).bit_length())
+    def _enqueue_rumor(self, name: str) -> None:
+        self._rumors[name] = RUMOR_TRANSMISSIONS * max(1, len(self.peers).bit_length())
 
     def _take_rumors(self) -> tuple[Rumor, ...]:
-        """Those told least often first, and a fresh word of this member itself where it has one."""
-        names = sorted(self._rumors, key=lambda name: -self._rumors[name])[:RUMORS]
+        """The rumors with the most transmissions left; one on this member carries its current state."""
+        names = sorted(self._rumors, key=lambda name: -self._rumors[name])[:MAX_RUMORS]
         found = []
         for name in names:
             self._rumors[name] -= 1
@@ -130,28 +131,31 @@
         return tuple(found)
 
     def _apply_rumors(self, now: int, rumors: tuple[Rumor, ...]) -> None:
-        for rumor in rumors[:RUMORS * 2]:
+        for rumor in rumors[:MAX_RUMORS * 2]:
             if rumor.name == self.name:
-                worse = rumor.state in (SUSPECT, DEAD, LEFT) and not self.leaving
-                if (rumor.incarnation > self.incarnation or (worse and rumor.incarnation == self.incarnation)) \
-                        and rumor.incarnation - self.incarnation <= JUMP:
+                must_refute = rumor.state in (SUSPECT, DEAD, LEFT) and not self.leaving
+                if (rumor.incarnation > self.incarnation or (must_refute and rumor.incarnation == self.incarnation)) \
+                        and rumor.incarnation - self.incarnation <= MAX_VERSION_STEP:
                     self.incarnation = rumor.incarnation + 1
-                    self.health = min(8, self.health + worse)
-                if worse:       # also of an older incarnation: whoever says so has not heard of this one
-                    self._spread(self.name)
+                    self.health = min(8, self.health + must_refute)
+                if must_refute:   # also of an older incarnation: the sender does not know this one
+                    self._enqueue_rumor(self.name)
                 continue
-            self._note(now, rumor)
+            self._apply_rumor(now, rumor)
 
-    def _note(self, now: int, rumor: Rumor) -> None:
-        """The greater incarnation counts; of one the worse state does.  Who is dead comes back by a greater one."""
+    def _apply_rumor(self, now: int, rumor: Rumor) -> None:
+        """Applies a rumor with a greater incarnation, or with the same one and a worse state.
+
+        A dead member returns only with a greater incarnation.
+        """
         peer = self.peers.get(rumor.name)
         if peer is None:
-            if len(self.peers) >= MEMBERS or rumor.state in (DEAD, LEFT):
+            if len(self.peers) >= MAX_MEMBERS or rumor.state in (DEAD, LEFT):
                 return
             self.peers[rumor.name] = Peer(rumor.address, rumor.incarnation, rumor.state, now)
-            self._spread(rumor.name)
+            self._enqueue_rumor(rumor.name)
             return
-        if not 0 <= rumor.incarnation - peer.incarnation <= JUMP or (
+        if not 0 <= rumor.incarnation - peer.incarnation <= MAX_VERSION_STEP or (
                 rumor.incarnation == peer.incarnation and rumor.state <= peer.state):
             return
         if rumor.state == DEAD and peer.state != DEAD:
@@ -159,88 +163,88 @@
         if rumor.state != peer.state:
             peer.since = now
         peer.address, peer.incarnation, peer.state = rumor.address, rumor.incarnation, rumor.state
-        self._spread(rumor.name)
+        self._enqueue_rumor(rumor.name)
         if rumor.state == SUSPECT and self._rng.random() < 4 / (1 + len(self.peers)):
-            self._ping(now, rumor.name)         # it hears what is said of it, and can refute that soon
+            self._ping(now, rumor.name)         # the ping carries the suspicion, so that it can be refuted early
 
     # ---- Time --------------------------------------------------------------------------------------------
 
     @property
     def next_tick_at(self) -> int:
-        """When `tick` is wanted next."""
-        at = min(self._probe_at, self._ask_at)
-        if self._probing is not None and not self._probing[3]:
-            at = min(at, self._probing[2] + self._patience())
+        """The time at which `tick` must next be called."""
+        at = min(self._next_probe_at, self._next_digest_request_at)
+        if self._current_probe is not None and not self._current_probe[3]:
+            at = min(at, self._current_probe[2] + self._probe_timeout())
         return at
 
-    def _patience(self) -> int:
+    def _probe_timeout(self) -> int:
         return self.timers.answer * (1 + self.health)
 
     def tick(self, now: int) -> None:
-        """Time has passed."""
-        probing = self._probing
-        if probing is not None and not probing[3] and now >= probing[2] + self._patience():
-            self._probing = (probing[0], probing[1], probing[2], True)
-            for helper in self._some(self.timers.helpers, probing[1]):
-                self._send(self.peers[helper].address, PingRequest(probing[0], self.name, probing[1],
+        """Sends the indirect probes, probes and digest requests that are due."""
+        probe = self._current_probe
+        if probe is not None and not probe[3] and now >= probe[2] + self._probe_timeout():
+            self._current_probe = (probe[0], probe[1], probe[2], True)
+            for helper in self._random_members(self.timers.helpers, probe[1]):
+                self._send(self.peers[helper].address, PingRequest(probe[0], self.name, probe[1],
                                                                     self._take_rumors()))
-        if now >= self._probe_at:
-            self._probe_at = now + self.timers.probe * (1 + self.health)
-            self._round(now)
-        if now >= self._ask_at:
-            self._ask_at = now + self._rng.randrange(self.timers.ask // 2, self.timers.ask * 3 // 2)
-            for name in self._some(1):
-                self._ask(now, name)
-
-    def _round(self, now: int) -> None:
-        if self._probing is not None:       # nobody has answered for it
-            whom = self._probing[1]
-            self._probing = None
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + self.timers.probe * (1 + self.health)
+            self._probe_round(now)
+        if now >= self._next_digest_request_at:
+            self._next_digest_request_at = now + self._rng.randrange(self.timers.ask // 2, self.timers.ask * 3 // 2)
+            for name in self._random_members(1):
+                self._request_digest(now, name)
+
+    def _probe_round(self, now: int) -> None:
+        if self._current_probe is not None:   # no direct or indirect reply has arrived
+            target = self._current_probe[1]
+            self._current_probe = None
             self.health = min(8, self.health + 1)
-            peer = self.peers.get(whom)
+            peer = self.peers.get(target)
             if peer is not None and peer.state == ALIVE:
-                self._note(now, Rumor(whom, peer.address, peer.incarnation, SUSPECT))
+                self._apply_rumor(now, Rumor(target, peer.address, peer.incarnation, SUSPECT))
         logarithm = max(1.0, math.log10(len(self.peers) + 1))
         wait = int(self.timers.suspect * self.timers.probe * logarithm * (1 + self.health))
         for name, peer in self.peers.items():
             if peer.state == SUSPECT and now - peer.since > wait:
-                self._note(now, Rumor(name, peer.address, peer.incarnation, DEAD))
+                self._apply_rumor(now, Rumor(name, peer.address, peer.incarnation, DEAD))
         dead = [name for name, peer in self.peers.items() if peer.state == DEAD]
-        if dead and self._rng.random() < 0.3:   # after a cut nobody else would speak to them again
+        if dead and self._rng.random() < 0.3:   # after a partition no member would contact them otherwise
             self._ping(now, self._rng.choice(dead))
-        if not self._order:
-            self._order = [name for name, peer in self.peers.items() if peer.state in (ALIVE, SUSPECT)]
-            self._rng.shuffle(self._order)
-        if self._order:
-            name = self._order.pop()
+        if not self._probe_order:
+            self._probe_order = [name for name, peer in self.peers.items() if peer.state in (ALIVE, SUSPECT)]
+            self._rng.shuffle(self._probe_order)
+        if self._probe_order:
+            name = self._probe_order.pop()
             if name in self.peers:
-                self._probing = (self._ping(now, name), name, now, False)
+                self._current_probe = (self._ping(now, name), name, now, False)
 
     def _ping(self, now: int, name: str, by: str = "", by_number: int = 0) -> int:
-        self._numbers += 1
+        self._last_number += 1
         peer = self.peers[name]
         rumors = self._take_rumors()
-        if peer.state != ALIVE:             # so that it can refute that
+        if peer.state != ALIVE:             # the target can refute it
             rumors = (*rumors, Rumor(name, peer.address, peer.incarnation, peer.state))
-        self._send(peer.address, Ping(self._numbers, self.name, name, rumors, by, by_number))
-        return self._numbers
+        self._send(peer.address, Ping(self._last_number, self.name, name, rumors, by, by_number))
+        return self._last_number
 
-    def _ask(self, now: int, name: str) -> None:
-        self._numbers += 1
-        self._digest_requests[self._numbers] = _Asked(name, now)
-        while len(self._digest_requests) > OUT:
+    def _request_digest(self, now: int, name: str) -> None:
+        self._last_number += 1
+        self._digest_requests[self._last_number] = _PendingRequest(name, now)
+        while len(self._digest_requests) > MAX_PENDING_REQUESTS:
             del self._digest_requests[next(iter(self._digest_requests))]
-        self._send(self.peers[name].address, DigestRequest(self._numbers, self.name))
+        self._send(self.peers[name].address, DigestRequest(self._last_number, self.name))
 
     # ---- Messages ----------------------------------------------------------------------------------------
 
     def on_message(self, now: int, address: str, message: Message) -> None:
-        """A datagram from there."""
+        """Handles a datagram from `address`."""
         if isinstance(message, Ping | Ack | PingRequest):
             self._apply_rumors(now, message.rumors)
         if isinstance(message, Ping):
             if message.target == self.name:
-                self._known(now, message.source, address)
+                self._on_contact(now, message.source, address)
                 self._send(address, Ack(message.number, self.name, message.by, self._take_rumors()))
         elif isinstance(message, PingRequest):
             if message.target in self.peers:
@@ -248,77 +252,77 @@
         elif isinstance(message, Ack):
             self._on_ack(now, message)
         elif isinstance(message, DigestRequest):
-            self._known(now, message.source, address)
+            self._on_contact(now, message.source, address)
             self._on_digest_request(now, address, message)
         elif isinstance(message, Digest):
             self._on_digest(now, address, message)
         elif isinstance(message, DeltaRequest):
-            self._on_want(address, message)
+            self._on_delta_request(address, message)
         else:
-            self._on_entries(message)
+            self._on_delta(message)
 
-    def _known(self, now: int, name: str, address: str) -> None:
-        """Somebody speaks who is not known here yet: a rumor of it is made, so that all come to know."""
+    def _on_contact(self, now: int, name: str, address: str) -> None:
+        """Handles a sign of life: spreads a rumor on an unknown member, and pings one that is considered dead."""
         if name not in self.peers and name != self.name:
-            self._note(now, Rumor(name, address, 0, ALIVE))
+            self._apply_rumor(now, Rumor(name, address, 0, ALIVE))
         elif name in self.peers and self.peers[name].state == DEAD:
-            self._ping(now, name)               # with what is said of it
+            self._ping(now, name)               # the ping carries its state, so that it can refute it
 
     def _on_ack(self, now: int, ack: Ack) -> None:
-        if ack.whose and ack.whose in self.peers:      # asked for somebody else: it hears that this one is there
+        if ack.whose and ack.whose in self.peers:      # the reply to an indirect probe: forward it to the requester
             self._send(self.peers[ack.whose].address, Ack(0, ack.source, "", ()))
             return
-        if self._probing is not None and ack.source == self._probing[1]:
-            self._probing = None
+        if self._current_probe is not None and ack.source == self._current_probe[1]:
+            self._current_probe = None
             self.health = max(0, self.health - 1)
 
-    def _on_digest_request(self, now: int, address: str, ask: DigestRequest) -> None:
-        states = [State(owner, known.life, known.count, self.values.age(now, owner) // MS + 1)
-                  for owner, known in self.values.owners.items()
-                  if owner == self.name or known.fresh != NEVER_NS]
-        for at in range(0, len(states), STATES_EACH):
-            self._send(address, Digest(ask.number, self.name, tuple(states[at:at + STATES_EACH])))
+    def _on_digest_request(self, now: int, address: str, request: DigestRequest) -> None:
+        states = [State(owner, record.life, record.count, self.values.age(now, owner) // MS + 1)
+                  for owner, record in self.values.owners.items()
+                  if owner == self.name or record.fresh != NEVER_NS]
+        for at in range(0, len(states), MAX_DIGEST_STATES):
+            self._send(address, Digest(request.number, self.name, tuple(states[at:at + MAX_DIGEST_STATES])))
 
-    def _on_digest(self, now: int, address: str, vector: Digest) -> None:
-        asked = self._digest_requests.get(vector.number)
-        if asked is None or asked.whom != vector.source:
+    def _on_digest(self, now: int, address: str, digest: Digest) -> None:
+        request = self._digest_requests.get(digest.number)
+        if request is None or request.whom != digest.source:
             return
         values = self.values
-        want = []
-        for state in vector.states:
+        wanted = []
+        for state in digest.states:
             if state.owner == self.name:
                 if (state.life, state.count) > values.owners[self.name].version():
-                    # Of a life that this process knows nothing of.
-                    values.reborn(state.life, self._rng.randrange(1, STEP))
+                    # An earlier run of this name, which this process does not know.
+                    values.supersede_life(state.life, self._rng.randrange(1, MAX_LIFE_STEP))
                 continue
-            at = asked.at - max(0, state.age) * MS
-            known = values.owners.get(state.owner)
-            version = known.version() if known is not None else (0, 0)
-            if version[0] > state.life or (vector.source == state.owner and version > (state.life, state.count)):
-                continue      # a new life that has not heard of the one before: what is known here is not of it
+            at = request.at - max(0, state.age) * MS
+            record = values.owners.get(state.owner)
+            version = record.version() if record is not None else (0, 0)
+            if version[0] > state.life or (digest.source == state.owner and version > (state.life, state.count)):
+                continue      # from a new run that does not know of the known one, which says nothing about it
             if version >= (state.life, state.count):
-                values.confirmed(state.owner, state.life, state.count, at)
-            elif len(values.owners) < MEMBERS:
-                pending = self._pending.get(state.owner)
+                values.confirm(state.owner, state.life, state.count, at)
+            elif len(values.owners) < MAX_MEMBERS:
+                pending = self._pending_deltas.get(state.owner)
                 if pending is None or pending[2] < at:
-                    self._pending[state.owner] = (state.life, state.count, at)
-                want.append((state.owner, *version))
-        if want:
-            self._send(address, DeltaRequest(vector.number, self.name, tuple(want)))
-
-    def _on_want(self, address: str, want: DeltaRequest) -> None:
-        for owner, life, count in want.known[:STATES_EACH]:
-            found = self.values.delta_since(owner, life, count, ROOM)
+                    self._pending_deltas[state.owner] = (state.life, state.count, at)
+                wanted.append((state.owner, *version))
+        if wanted:
+            self._send(address, DeltaRequest(digest.number, self.name, tuple(wanted)))
+
+    def _on_delta_request(self, address: str, request: DeltaRequest) -> None:
+        for owner, life, count in request.known[:MAX_DIGEST_STATES]:
+            found = self.values.delta_since(owner, life, count, MAX_DELTA_BYTES)
             if found is not None:
-                after, entries, upto, whole = found
-                self._send(address, Delta(want.number, self.name, owner, self.values.owners[owner].life, after,
-                                            tuple(entries), upto, whole))
+                after, entries, upto, is_full = found
+                self._send(address, Delta(request.number, self.name, owner, self.values.owners[owner].life, after,
+                                          tuple(entries), upto, is_full))
 
-    def _on_entries(self, told: Delta) -> None:
-        if told.number not in self._digest_requests or not self.values.merge(told):
+    def _on_delta(self, delta: Delta) -> None:
+        if delta.number not in self._digest_requests or not self.values.merge(delta):
             return
-        pending = self._pending.get(told.owner)
-        known = self.values.owners[told.owner]
-        if pending is not None and known.version() >= pending[:2]:
-            del self._pending[told.owner]
-            self.values.confirmed(told.owner, pending[0], pending[1], pending[2])
+        pending = self._pending_deltas.get(delta.owner)
+        record = self.values.owners[delta.owner]
+        if pending is not None and record.version() >= pending[:2]:
+            del self._pending_deltas[delta.owner]
+            self.values.confirm(delta.owner, pending[0], pending[1], pending[2])
--- a/moleworks/gossip/messages.py
+++ b/moleworks/gossip/messages.py
@@ -1,4 +1,4 @@
-"""What goes between members, one message a datagram.  MessagePack by msgspec behind version and fleet."""
+"""Messages between members, one per datagram: version, fleet, then MessagePack by msgspec."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1400
-"""Bytes of a datagram."""
+"""Maximum size of a datagram."""
 _HEAD = struct.Struct(">BQ")
 
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 
 
 class Rumor(Struct, frozen=True, array_like=True):
-    """What is said of a member: its address, incarnation and state."""
+    """An update on a member's address, incarnation and state."""
 
     name: str
     address: str
@@ -25,7 +25,7 @@
 
 
 class Ping(Struct, frozen=True, tag=1, array_like=True):
-    """Are you there?  `by`: whom the answer is for, where another one asks on its behalf (with its number)."""
+    """A probe of `target`.  `by`, `by_number`: sender and number of the `PingRequest` that caused it, if any."""
 
     number: int
     source: str
@@ -36,7 +36,7 @@
 
 
 class Ack(Struct, frozen=True, tag=2, array_like=True):
-    """Yes.  `whose`: who is there, where that was asked on somebody's behalf."""
+    """The reply to `Ping`.  `whose`: the member on whose behalf `source` was probed, if any."""
 
     number: int
     source: str
@@ -45,7 +45,7 @@
 
 
 class PingRequest(Struct, frozen=True, tag=3, array_like=True):
-    """Ask that one for me."""
+    """An indirect probe: requests the receiver to ping `target` on behalf of `source`."""
 
     number: int
     source: str
@@ -54,14 +54,14 @@
 
 
 class DigestRequest(Struct, frozen=True, tag=4, array_like=True):
-    """What do you know, and how old is it?"""
+    """Requests a `Digest` for anti-entropy."""
 
     number: int
     source: str
 
 
 class State(Struct, frozen=True, array_like=True):
-    """An owner's version (incarnation of its life, count) and how old knowledge of it may be, ms."""
+    """An owner's version (`life`, `count`) and the maximum age of what is known of it, ms."""
 
     owner: str
     life: int
@@ -70,7 +70,7 @@
 
 
 class Digest(Struct, frozen=True, tag=5, array_like=True):
-    """The answer to `DigestRequest`, in parts that each stand alone."""
+    """The reply to `DigestRequest`, in parts that can be processed independently."""
 
     number: int
     source: str
@@ -78,7 +78,7 @@
 
 
 class DeltaRequest(Struct, frozen=True, tag=6, array_like=True):
-    """Entries of these owners beyond what I have: owner, life, count."""
+    """Requests the entries of these owners that are newer than the sender's: owner, life, count."""
 
     number: int
     source: str
@@ -86,16 +86,16 @@
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """A key of its owner; `value` None: removed."""
+    """The value of an owner's key; None if it was removed (a tombstone)."""
 
     count: int
     key: str
     value: bytes | None
-    time: int = 0        # hybrid, for keys that many write
+    time: int = 0        # hybrid logical time, for keys with several writers
 
 
 class Delta(Struct, frozen=True, tag=7, array_like=True):
-    """Of one owner: all that is beyond `after`, up to the last one here; `whole`: in place of all that was known."""
+    """An owner's entries with counts from `after` (excluded) to `upto`; `whole`: they replace all earlier entries."""
 
     number: int
     source: str
@@ -113,21 +113,21 @@
 
 
 class ForeignDatagram(Exception):
-    """A datagram of another fleet or version, or none of ours."""
+    """A datagram of another fleet or version, or a malformed one."""
 
 
 def pack(fleet: int, message: Message) -> bytes:
-    """One datagram."""
+    """Encodes a message as a datagram."""
     return _HEAD.pack(VERSION, fleet) + _ENCODE(message)
 
 
 def unpack(fleet: int, data: bytes) -> Message:
-    """Raises ForeignDatagram."""
+    """Decodes a datagram.  Raises ForeignDatagram."""
     if len(data) > MAX_DATAGRAM_BYTES or len(data) < _HEAD.size:
-        raise ForeignDatagram("of no size that is sent")
+        raise ForeignDatagram("datagram size out of range")
     version, whose = _HEAD.unpack_from(data)
     if version != VERSION or whose != fleet:
-        raise ForeignDatagram("of another fleet or version")
+        raise ForeignDatagram("wrong fleet or version")
     try:
         return _DECODE.decode(data[_HEAD.size:])
     except msgspec.DecodeError as error:
--- a/moleworks/store/__init__.py
+++ b/moleworks/store/__init__.py
@@ -1,1 +1,1 @@
-"""Records with revisions, replicated over some members and durable.  Consensus as published by Ongaro (Raft)."""
+"""A replicated, durable store of records with revisions.  Its consensus algorithm is Raft, as published by Ongaro."""
--- a/moleworks/store/disk.py
+++ b/moleworks/store/disk.py
@@ -1,6 +1,6 @@
-"""A member's disk: vote, log and snapshot in one SQLite file, synced in full with each write, each row checksummed.
+"""A member's disk: vote, log and snapshot in one SQLite file.  Every write is fully synced, every row has a checksum.
 
-What SQLite had not finished is not there after a crash; a row that does not fit its checksum stops the member.
+After a crash SQLite rolls back an incomplete transaction.  A row that does not match its checksum stops the member.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 create table if not exists log (idx integer primary key, body blob not null, checksum integer not null);
 """
 FORMAT = 1
-PIECE = 8 << 20
-"""A snapshot is kept in rows of so many bytes."""
+SNAPSHOT_ROW_BYTES = 8 << 20
+"""Maximum bytes of snapshot data per row."""
 
 
 class CorruptStore(Exception):
-    """The file is not what this member wrote; it must not serve from it."""
+    """The file is not what this member wrote, so the member must not use it."""
 
 
 class Identity(Struct, frozen=True):
-    """Whose disk it is.  `disk` is drawn when it is made, `boot` grows with each start."""
+    """Identifies a disk.  `disk` is drawn at random when the file is created; `boot` counts the starts."""
 
     cluster: str
     member: str
     disk: str
     boot: int
     format: int = FORMAT
-    life: str = ""       # drawn at this start
-    before: str = ""     # and at the one before
+    life: str = ""       # random identifier of this start
+    before: str = ""     # and of the start before
 
 
 class _Vote(Struct, array_like=True):
@@ -49,8 +49,8 @@
     vote: str
 
 
-class _Head(Struct, array_like=True):
-    """A snapshot's head; its data is in `pieces` rows beside it."""
+class _SnapshotHead(Struct, array_like=True):
+    """A snapshot's metadata; its data is in `pieces` separate rows."""
 
     index: int
     term: int
@@ -63,40 +63,42 @@
 
 
 def _checksum(name: str, body: bytes) -> int:
-    return xxhash.xxh3_64_intdigest(name.encode() + b"\0" + body) >> 1   # SQLite's integers have a sign
+    return xxhash.xxh3_64_intdigest(name.encode() + b"\0" + body) >> 1   # SQLite's integers are signed
 
 
 class Disk:
-    """One file.  Calls block: a member makes them in a thread of their own."""
+    """The database file.  All calls block; a member makes its writes in a separate thread."""
 
     def __init__(self, folder: Path, cluster: str, member: str, create: bool = True) -> None:
-        """Raises CorruptStore where the file is another's or does not fit its checksums, OSError where there is
-        none."""
+        """Opens or creates the file.
+
+        Raises CorruptStore if it belongs to another member or does not match its checksums, OSError if it is missing.
+        """
         self.path = folder / "store.db"
         if create:
             folder.mkdir(parents=True, exist_ok=True)
         elif not self.path.exists():
-            raise FileNotFoundError(f"{self.path}: there is no store")
+            raise FileNotFoundError(f"{self.path}: no store exists here")
         try:
             self._db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
             self._db.execute("pragma locking_mode = exclusive")
             self._db.execute("pragma journal_mode = wal")
             self._db.execute("pragma synchronous = full")
             self._db.executescript(SCHEMA)
-            self.identity = self._identify(cluster, member)
+            self.identity = self._read_identity(cluster, member)
         except sqlite3.Error as error:
             raise CorruptStore(f"{self.path}: {error}") from None
 
-    def _identify(self, cluster: str, member: str) -> Identity:
+    def _read_identity(self, cluster: str, member: str) -> Identity:
         body = self._meta("identity")
         if body is None:
             identity = Identity(cluster, member, secrets.token_hex(8), 1, life=secrets.token_hex(4))
         else:
             old: Identity = msgspec.msgpack.decode(body, type=Identity)
             if old.format > FORMAT:
-                raise CorruptStore(f"{self.path}: is of a newer version, {old.format}")
+                raise CorruptStore(f"{self.path}: unsupported newer format version {old.format}")
             if (old.cluster, old.member) != (cluster, member):
-                raise CorruptStore(f"{self.path}: is {old.member}'s of {old.cluster}, not {member}'s of {cluster}")
+                raise CorruptStore(f"{self.path}: belongs to {old.member} of {old.cluster}, not {member} of {cluster}")
             identity = msgspec.structs.replace(old, boot=old.boot + 1, life=secrets.token_hex(4), before=old.life)
         with self._transaction():
             self._put("identity", _ENCODE(identity))
@@ -120,12 +122,12 @@
         return body
 
     def load(self, first: Config) -> tuple[Log, int, str]:
-        """Log, term and vote; an empty disk begins with these members.  Raises CorruptStore."""
+        """Reads log, term and vote; an empty disk has the initial configuration `first`.  Raises CorruptStore."""
         try:
             vote = self._meta("vote")
-            term, whom = (0, "") if vote is None else msgspec.structs.astuple(msgspec.msgpack.decode(vote, type=_Vote))
+            term, voted = (0, "") if vote is None else msgspec.structs.astuple(msgspec.msgpack.decode(vote, type=_Vote))
             snapshot = self._snapshot() or Snapshot(0, 0, first, b"")
-            return Log(snapshot, list(self._entries(snapshot.index))), term, whom
+            return Log(snapshot, list(self._entries(snapshot.index))), term, voted
         except (sqlite3.Error, msgspec.DecodeError) as error:
             raise CorruptStore(f"{self.path}: {error}") from None
 
@@ -133,7 +135,7 @@
         body = self._meta("snapshot")
         if body is None:
             return None
-        head: _Head = msgspec.msgpack.decode(body, type=_Head)
+        head: _SnapshotHead = msgspec.msgpack.decode(body, type=_SnapshotHead)
         pieces = [self._meta(f"snapshot {head.index} {number}") for number in range(head.pieces)]
         if None in pieces:
             raise CorruptStore(f"{self.path}: a piece of snapshot {head.index} is missing")
@@ -150,18 +152,18 @@
             yield _ENTRY.decode(body)
             expected += 1
 
-    def remember(self, member: str, met: bytes) -> None:
-        """Whom this member has met, on disk when this returns.  Raises sqlite3.Error."""
+    def remember_member(self, member: str, hello: bytes) -> None:
+        """Stores another member's last `Hello`, durable when this returns.  Raises sqlite3.Error."""
         with self._transaction():
-            self._put(f"met {member}", met)
+            self._put(f"met {member}", hello)
 
-    def met(self) -> dict[str, bytes]:
-        """Everybody it has met.  Raises CorruptStore."""
+    def met_members(self) -> dict[str, bytes]:
+        """The last `Hello` of each other member that has connected.  Raises CorruptStore."""
         rows = self._db.execute("select name from meta where name like 'met %'").fetchall()
         return {name.removeprefix("met "): self._meta(name) or b"" for (name,) in rows}
 
     def sync(self, write: Write) -> None:
-        """All of a write, on disk when this returns, or none of it.  Raises sqlite3.Error (a full disk)."""
+        """Applies a write atomically, durable when this returns.  Raises sqlite3.Error, as on a full disk."""
         with self._transaction():
             self._put("vote", _ENCODE(_Vote(write.term, write.vote)))
             if write.cut:
@@ -175,24 +177,23 @@
 
     def _put_snapshot(self, snapshot: Snapshot) -> None:
         data = snapshot.data
-        pieces = [data[at:at + PIECE] for at in range(0, len(data), PIECE)]
+        pieces = [data[at:at + SNAPSHOT_ROW_BYTES] for at in range(0, len(data), SNAPSHOT_ROW_BYTES)]
         self._db.execute("delete from meta where name like 'snapshot %'")
         for number, piece in enumerate(pieces):
             self._put(f"snapshot {snapshot.index} {number}", piece)
-        self._put("snapshot", _ENCODE(_Head(snapshot.index, snapshot.term, snapshot.config, len(pieces))))
+        self._put("snapshot", _ENCODE(_SnapshotHead(snapshot.index, snapshot.term, snapshot.config, len(pieces))))
         self._db.execute("delete from log where idx <= ?", (snapshot.index,))
 
     def size(self) -> int:
-        """Bytes of the file."""
+        """Size of the file in bytes."""
         return os.stat(self.path).st_size
 
     def close(self) -> None:
-        """The end."""
         self._db.close()
 
 
 class _Transaction:
-    """begin, and commit or roll back."""
+    """Context manager for a transaction: commits, or rolls back after an exception."""
 
     def __init__(self, db: sqlite3.Connection) -> None:
         self._db = db
@@ -203,5 +204,5 @@
     def __exit__(self, kind: object, *_: object) -> None:
         if kind is None:
             self._db.execute("commit")
-        elif self._db.in_transaction:     # on a full disk SQLite has rolled back by itself; its own words must be told
+        elif self._db.in_transaction:     # on a full disk SQLite rolls back itself; its error must be raised
             self._db.execute("rollback")
--- a/moleworks/store/grants.py
+++ b/moleworks/store/grants.py
@@ -1,7 +1,7 @@
 """The granter's side of a lease.  No I/O.
 
-A granter counts from when it *applied* a grant or its renewal, a holder from before it *sent* the request; clock rates
-may differ by 1 in 100.  So a holder has stopped, by any clock, before the granter lets go.
+A granter measures a lease from the time at which it *applied* the grant or its renewal, a holder from before it *sent*
+the request.  Clock rates may differ by 1 in 100.  A holder therefore stops before the granter expires the grant.
 """
 
 from __future__ import annotations
@@ -9,17 +9,18 @@
 from .state import Expire, State
 
 GRANT_TIMEOUT_FACTOR = 1.03
-"""A granter waits so many times the lease: a clock that is 1 in 100 slow against one as much fast leaves room."""
+"""A grant expires after its lease times this.  It covers a holder's clock that is 1 in 100 slow and a granter's
+that is as much fast."""
 
 
 class Granter:
-    """What a member saw of each grant, and when; a new leader, or one that was restarted, counts anew."""
+    """Tracks when each grant was last applied on this member.  A restarted member starts with full leases."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, tuple[int, int, int]] = {}   # token, renewals, since
+        self._seen: dict[str, tuple[int, int, int]] = {}   # by duty: token, renewals, time applied
 
     def applied(self, now: int, state: State, duty: str) -> None:
-        """A change of this duty has been applied."""
+        """Handles an applied command on this duty."""
         grant = state.grants.get(duty)
         if grant is None:
             self._seen.pop(duty, None)
@@ -27,11 +28,11 @@
             self._seen[duty] = (grant.token, grant.renewals, now)
 
     def restart_timers(self, now: int, state: State) -> None:
-        """The state came from a snapshot, or this member leads from now on: nothing is known of what was before."""
+        """Measures all leases from now on: the state comes from a snapshot, without the times of renewals."""
         self._seen = {duty: (grant.token, grant.renewals, now) for duty, grant in state.grants.items()}
 
     def expired(self, now: int, state: State) -> list[Expire]:
-        """Grants whose time is out by this clock."""
+        """Commands that expire the grants whose lease has passed by this member's clock."""
         found = []
         for duty, (token, renewals, since) in self._seen.items():
             grant = state.grants.get(duty)
--- a/moleworks/store/log.py
+++ b/moleworks/store/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after a snapshot, by index.  No I/O."""
+"""The in-memory Raft log: a snapshot and the entries after it.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Snapshot:
-    """The state up to an index, with the members as they were then."""
+    """The state machine's image up to an index, with the configuration as of that index."""
 
     __slots__ = ("config", "data", "index", "term")
 
@@ -17,7 +17,7 @@
 
 
 class Log:
-    """Entries from `snapshot.index + 1` on, without a gap."""
+    """A snapshot and the contiguous entries from `snapshot.index + 1` on."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[Entry] = ()) -> None:
         self.snapshot = snapshot
@@ -25,55 +25,54 @@
 
     @property
     def last_index(self) -> int:
-        """The newest entry's index."""
+        """Index of the last entry, or of the snapshot if there is none."""
         return self.snapshot.index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """And its term."""
+        """Term of the last entry, or of the snapshot if there is none."""
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     def term(self, index: int) -> int | None:
-        """The term of an entry; None where it is not known here."""
+        """Term of the entry at an index; None if the log does not contain it."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        at = index - self.snapshot.index - 1
-        return self._entries[at].term if 0 <= at < len(self._entries) else None
+        position = index - self.snapshot.index - 1
+        return self._entries[position].term if 0 <= position < len(self._entries) else None
 
     def get(self, index: int) -> Entry:
-        """The entry at an index that is here."""
+        """The entry at an index, which must be in the log."""
         return self._entries[index - self.snapshot.index - 1]
 
-    def after(self, index: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
-        """Entries that follow an index: at least one if there is one, else bounded in number and bytes."""
-        at = index - self.snapshot.index
+    def entries_after(self, index: int, limit: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Entries after an index, within both limits; the first one is returned even if it exceeds `max_bytes`."""
+        position = index - self.snapshot.index
         found: list[Entry] = []
         size = 0
-        for entry in self._entries[at:at + most]:
+        for entry in self._entries[position:position + limit]:
             size += len(entry.data) + 64
-            if found and size > most_bytes:
+            if found and size > max_bytes:
                 break
             found.append(entry)
         return tuple(found)
 
     def append(self, entry: Entry) -> None:
-        """One more at the end."""
         self._entries.append(entry)
 
     def truncate(self, index: int) -> None:
-        """Drop this entry and all that follow."""
+        """Removes the entry at this index and all later ones."""
         del self._entries[index - self.snapshot.index - 1:]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """A snapshot takes the place of all up to its index."""
+        """Replaces the log up to the snapshot's index; all of it if its entry there has another term."""
         if snapshot.index <= self.snapshot.index:
             return
-        known = self.term(snapshot.index) == snapshot.term
-        self._entries = self._entries[snapshot.index - self.snapshot.index:] if known else []
+        matches = self.term(snapshot.index) == snapshot.term
+        self._entries = self._entries[snapshot.index - self.snapshot.index:] if matches else []
         self.snapshot = snapshot
 
     def config(self, before: int = 1 << 62) -> tuple[Config, int]:
-        """The newest configuration in it, committed or not, and its index; or the newest below an index."""
+        """The latest configuration below index `before`, committed or not, and its index."""
         for entry in reversed(self._entries):
             if entry.config is not None and entry.index < before:
                 return entry.config, entry.index
--- a/moleworks/store/messages.py
+++ b/moleworks/store/messages.py
@@ -1,4 +1,7 @@
-"""What members say to each other.  Each message carries its sender's term; MessagePack by msgspec (wire.py)."""
+"""Raft messages between members.  Each carries its sender's term; encoded as MessagePack by msgspec (see wire.py).
+
+Class names are tags on the wire.  They map to Raft's RPCs as each docstring says.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +9,18 @@
 
 
 class Config(Struct, frozen=True):
-    """Who votes and who only learns, by name."""
+    """A cluster configuration: names of voters and of learners, which replicate the log without a vote."""
 
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
 
     def has(self, name: str) -> bool:
-        """Whether it is a member of any kind."""
+        """Whether a voter or learner of this name exists."""
         return name in self.voters or name in self.learners
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One entry of the log: `data` for the state machine, or a new `config`, or neither (a leader's first)."""
+    """A log entry: `data` for the state machine, a new `config`, or neither (the no-op of a new leader)."""
 
     index: int
     term: int
@@ -26,7 +29,7 @@
 
 
 class Ask(Struct, frozen=True, tag=True, array_like=True):
-    """A vote is asked for; with `pre` only whether it would be given.  `transfer`: the leader itself wishes it."""
+    """RequestVote; a pre-vote with `pre`.  `transfer`: the election was requested by the leader."""
 
     term: int
     last_index: int
@@ -36,7 +39,7 @@
 
 
 class Vote(Struct, frozen=True, tag=True, array_like=True):
-    """The answer to `Ask`."""
+    """The reply to `Ask`."""
 
     term: int
     granted: bool
@@ -44,7 +47,7 @@
 
 
 class Append(Struct, frozen=True, tag=True, array_like=True):
-    """Entries that follow `prev_index`, or none: then only that the leader leads.  `round` numbers its heartbeats."""
+    """AppendEntries: entries after `prev_index`, none in a heartbeat.  `round` numbers the heartbeats."""
 
     term: int
     prev_index: int
@@ -55,7 +58,7 @@
 
 
 class Appended(Struct, frozen=True, tag=True, array_like=True):
-    """The answer to `Append`: what matches, on disk; or, not `ok`, where the leader should look next."""
+    """The reply to `Append`: up to which index the log matches, durably; if not `ok`, which index to try next."""
 
     term: int
     ok: bool
@@ -64,7 +67,7 @@
 
 
 class Piece(Struct, frozen=True, tag=True, array_like=True):
-    """A piece of a snapshot up to `index`; `last` with the final one."""
+    """InstallSnapshot: a chunk of the snapshot up to `index`; `last` marks the final chunk."""
 
     term: int
     index: int
@@ -77,7 +80,7 @@
 
 
 class Taken(Struct, frozen=True, tag=True, array_like=True):
-    """The answer to `Piece`: how many bytes of the snapshot up to `index` are there."""
+    """The reply to `Piece`: how many bytes of the snapshot up to `index` have been received."""
 
     term: int
     index: int
@@ -86,7 +89,7 @@
 
 
 class TimeoutNow(Struct, frozen=True, tag=True, array_like=True):
-    """The leader asks this member to follow it at once."""
+    """Leadership transfer: the receiver starts an election immediately."""
 
     term: int
 
--- a/moleworks/store/protocol.py
+++ b/moleworks/store/protocol.py
@@ -1,4 +1,4 @@
-"""What goes through the wire between members, and between a client and a member.  MessagePack by msgspec."""
+"""Frames between members, and between clients and members; encoded as MessagePack by msgspec."""
 
 from __future__ import annotations
 
@@ -11,69 +11,69 @@
 
 
 class Hello(Struct, frozen=True, tag="hello"):
-    """The first frame of a connection.  A member tells who it is, where it listens, and how often it has started."""
+    """The first frame of a connection.  Identifies a member by its name, address, disk and starts."""
 
-    member: str = ""              # empty: a client
+    member: str = ""              # empty: the sender is a client
     address: str = ""
     disk: str = ""
     boot: int = 0
-    life: str = ""                # drawn at this start
-    before: str = ""              # and at the one before
+    life: str = ""                # random identifier of this start
+    before: str = ""              # and of the start before
 
 
 class Call(Struct, frozen=True, tag="call"):
-    """A client's call; the answer carries its number."""
+    """A client's call; the answers carry the same `id`."""
 
     id: int
     what: Command | Get | List | Watch | WatchDuty | Status | Members | Transfer | Compact | Image
 
 
 class Get(Struct, frozen=True, tag=True):
-    """A record, linearizably; `stale`: whatever this member has."""
+    """Reads a record, linearizably; with `stale`, from this member's state as it is."""
 
     key: str
     stale: bool = False
 
 
 class List(Struct, frozen=True, tag=True):
-    """Records by prefix, at most so many, and the grants of duties with `duties`."""
+    """Reads at most `most` records by prefix, and all grants; `stale` as in `Get`."""
 
     prefix: str = ""
     most: int = 1000
     stale: bool = False
-    after: str = ""               # only keys beyond this one: the next page
+    after: str = ""               # only keys greater than this one, for pagination
 
 
 class Watch(Struct, frozen=True, tag=True):
-    """Changes after a revision, then more as they come, until the connection ends."""
+    """Streams the changes after a revision until the connection ends."""
 
     prefix: str
     after: int
 
 
 class WatchDuty(Struct, frozen=True, tag=True):
-    """A duty's grant, now and whenever another holds it; what lies between may be left out."""
+    """Streams a duty's grant, now and after changes of holder; intermediate grants may be skipped."""
 
     duty: str
 
 
 class Compact(Struct, frozen=True, tag=True):
-    """Let this member's image take the place of its log now."""
+    """Replaces this member's log with a snapshot now."""
 
 
 class Image(Struct, frozen=True, tag=True):
-    """A piece of the state's image, for a backup: without an `image` a new one as of now, of which the answer names."""
+    """Reads a chunk of a state image, for a backup.  An empty `image` creates one, whose name the answer contains."""
 
     image: str = ""
     offset: int = 0
 
 
 class Status(Struct, frozen=True, tag=True):
-    """How this member sees things."""
+    """Requests this member's status."""
 
 
 class Members(Struct, frozen=True, tag=True):
-    """Add a member under a name and an address, or take one out."""
+    """Adds a member under a name and an address, or removes one."""
 
     add: str = ""
     address: str = ""
@@ -81,13 +81,13 @@
 
 
 class Transfer(Struct, frozen=True, tag=True):
-    """Let this member lead."""
+    """Transfers leadership to this member."""
 
     to: str
 
 
 class Row(Struct, frozen=True):
-    """A record in an answer."""
+    """A record, in an answer."""
 
     key: str
     value: bytes
@@ -96,7 +96,7 @@
 
 
 class GrantRow(Struct, frozen=True):
-    """A duty's grant in an answer."""
+    """A duty's grant, in an answer."""
 
     duty: str
     holder: str
@@ -106,12 +106,15 @@
 
 
 class Answer(Struct, frozen=True, tag="answer", omit_defaults=True):
-    """To a call: one of these.  A watch gets many, with `events`; `compacted` ends it: list anew from `revision`."""
+    """The answer to a call, with one kind of content.  A watch receives many, with `events`.
+
+    `compacted` ends a watch: the client must list the records again and watch from `revision`.
+    """
 
     id: int
     result: Result | None = None
     elsewhere: Redirect | None = None
-    address: str = ""                     # of whom `elsewhere` names
+    address: str = ""                     # of the leader that `elsewhere` names
     rows: list[Row] | None = None
     grants: list[GrantRow] | None = None
     events: list[Event] | None = None
@@ -119,13 +122,13 @@
     revision: int = 0
     status: StatusRow | None = None
     error: str = ""
-    data: bytes = b""                     # a piece of an image
-    image: str = ""                       # its name
-    size: int = 0                         # and how long it is in all
+    data: bytes = b""                     # a chunk of an image
+    image: str = ""                       # the image's name
+    size: int = 0                         # the image's total size in bytes
 
 
 class StatusRow(Struct, frozen=True):
-    """A member's view."""
+    """A member's status."""
 
     member: str
     role: str
@@ -133,8 +136,8 @@
     term: int
     commit: int
     applied: int
-    first: int                            # of the log, after its snapshot
-    last: int
+    first: int                            # index of the first log entry, after the snapshot
+    last: int                             # index of the last log entry
     revision: int
     config: Config
     boot: int
@@ -143,7 +146,7 @@
 
 
 class Peer(Struct, frozen=True, tag="peer"):
-    """A message between members."""
+    """A frame with a message between members."""
 
     message: Message
 
--- a/moleworks/store/replica.py
+++ b/moleworks/store/replica.py
@@ -1,6 +1,6 @@
-"""One member without I/O: consensus, the state machine, who waits for an answer, and the leases it grants.
+"""A member without I/O: consensus, the state machine, calls that wait for an answer, and the leases it grants.
 
-Its process gives it a disk, sockets and a clock; the rig gives it virtual ones.
+A member process connects it to a disk, sockets and a clock; the rig connects it to simulated ones.
 """
 
 from __future__ import annotations
@@ -15,15 +15,18 @@
 from .messages import Config, Message
 from .state import Acquire, Command, Expire, Renew, Result, State, encode
 
-WAITING = 8192
-"""Changes and reads whose answer is owed at once; beyond it a client is told to come again."""
+MAX_WAITING = 8192
+"""Maximum waiting commands, and maximum waiting reads; further ones are answered `busy`."""
 COMPACT_ENTRIES = 20_000
 COMPACT_BYTES = 64 << 20
-"""Past so many applied entries, or bytes of them, the state's image takes their place."""
+"""Applied entries, and bytes of them, beyond which a snapshot replaces them in the log."""
 
 
 class Redirect(Struct, frozen=True):
-    """Not answered here: ask `leader` (empty: nobody knows).  `again`: what was asked may have happened or may yet."""
+    """The call was not served here: retry at `leader` (empty: unknown).
+
+    `again`: the call may have been applied, or may still be.  `busy`: `leader` cannot accept it now; retry later.
+    """
 
     leader: str
     again: bool = False
@@ -31,17 +34,17 @@
 
 
 class Done(Struct):
-    """What came of an event: to write, to send, to answer."""
+    """Actions that follow from the events so far: a write, messages and answers."""
 
     write: Write | None
     send: list[tuple[str, Message]]
     answers: list[tuple[Any, Result | Redirect]]
-    reads: list[Any]              # may be served from the state now
+    reads: list[Any]              # callers whose reads may now be served from the state
     applied: bool                 # the state has changed
 
 
 class Replica:
-    """A member's whole mind."""
+    """One member: the consensus core and the state machine together."""
 
     def __init__(self, core: Core, state: State, now: int, compact_entries: int = COMPACT_ENTRIES,
                  granter: type[Granter] = Granter) -> None:
@@ -49,44 +52,44 @@
         self.state = state
         self._granter = granter()
         self._granter.restart_timers(now, state)
-        self._waiting: dict[int, tuple[int, Any]] = {}     # index: term, whose
+        self._waiting: dict[int, tuple[int, Any]] = {}     # by log index: term, caller
         self._reads: list[tuple[int, Any]] = []
         self._answers: list[tuple[Any, Result | Redirect]] = []
-        self._led = False
+        self._was_leader = False
         self._compact_entries = compact_entries
-        self._bytes = 0
+        self._log_bytes = 0
         self.changes = 0
 
     # ---- Clients ----------------------------------------------------------------------------------------
 
-    def submit(self, now: int, whose: Any, command: Command) -> None:
-        """A change; its answer comes out of `pump`, sooner or later or never."""
+    def submit(self, now: int, caller: Any, command: Command) -> None:
+        """Proposes a command.  `pump` returns its answer later, or never."""
         core = self.core
         if core.role != LEADER:
-            self._answers.append((whose, Redirect(core.leader)))
+            self._answers.append((caller, Redirect(core.leader)))
             return
-        if len(self._waiting) >= WAITING:
-            self._answers.append((whose, Redirect(core.name, False, True)))
+        if len(self._waiting) >= MAX_WAITING:
+            self._answers.append((caller, Redirect(core.name, False, True)))
             return
         index = core.propose(now, encode(command))
         if index is None:
-            self._answers.append((whose, Redirect(core.leader, False, True)))
+            self._answers.append((caller, Redirect(core.leader, False, True)))
         else:
-            self._waiting[index] = (core.term, whose)
+            self._waiting[index] = (core.term, caller)
 
-    def read(self, now: int, whose: Any) -> None:
-        """A linearizable read: `pump` names it once the state may be looked at."""
-        if len(self._reads) >= WAITING or not self.core.read(now, whose):
-            self._answers.append((whose, Redirect(self.core.leader, True, self.core.role == LEADER)))
+    def read(self, now: int, caller: Any) -> None:
+        """Starts a linearizable read.  `pump` returns the caller once the state may be read."""
+        if len(self._reads) >= MAX_WAITING or not self.core.read(now, caller):
+            self._answers.append((caller, Redirect(self.core.leader, True, self.core.role == LEADER)))
 
     def reconfigure(self, now: int, config: Config) -> bool:
-        """One step to another set of members."""
+        """Changes the configuration by one member."""
         return self.core.reconfigure(now, config) is not None
 
     # ---- Time and output --------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Time has passed: heartbeats, elections, leases that are out."""
+        """Runs the timers of consensus, expires grants and promotes learners that have caught up."""
         core = self.core
         core.tick(now)
         if core.role == LEADER and core.log.term(core.commit) == core.term:
@@ -99,7 +102,7 @@
                                              tuple(name for name in core.config.learners if name != promoted)))
 
     def pump(self, now: int) -> Done:
-        """Everything that follows from the events so far."""
+        """Returns all actions that follow from the events so far."""
         core = self.core
         out = core.take_output()
         changed = False
@@ -108,46 +111,46 @@
             self._granter.restart_timers(now, self.state)
             changed = True
         for entry in out.apply:
-            term, whose = self._waiting.pop(entry.index, (0, None))
+            term, caller = self._waiting.pop(entry.index, (0, None))
             if not entry.data:
                 result: Result | Redirect = Redirect(core.leader, True)
             else:
                 command, result = self.state.apply(entry.data)
                 self.changes += 1
-                self._bytes += len(entry.data)
+                self._log_bytes += len(entry.data)
                 changed = True
                 if isinstance(command, Acquire | Renew | Expire):
                     self._granter.applied(now, self.state, command.duty)
-            if whose is not None:
-                self._answers.append((whose, result if term == entry.term else Redirect(core.leader, True)))
-        leads = core.role == LEADER
-        if not leads and self._led:   # what was in the log may be committed by another leader, or never
-            self._answers += [(whose, Redirect(core.leader, True)) for _, whose in self._waiting.values()]
+            if caller is not None:
+                self._answers.append((caller, result if term == entry.term else Redirect(core.leader, True)))
+        is_leader = core.role == LEADER
+        if not is_leader and self._was_leader:   # the new leader may commit these, or remove them
+            self._answers += [(caller, Redirect(core.leader, True)) for _, caller in self._waiting.values()]
             self._waiting.clear()
-        self._led = leads
-        self._answers += [(whose, Redirect(core.leader, True)) for whose in out.lost]
-        self._reads += [(index, whose) for whose, index in out.reads]
-        ready = [whose for index, whose in self._reads if index <= core.applied]
+        self._was_leader = is_leader
+        self._answers += [(caller, Redirect(core.leader, True)) for caller in out.lost]
+        self._reads += [(index, caller) for caller, index in out.reads]
+        ready = [caller for index, caller in self._reads if index <= core.applied]
         if ready:
-            self._reads = [(index, whose) for index, whose in self._reads if index > core.applied]
-        if core.applied - core.log.snapshot.index >= self._compact_entries or self._bytes > COMPACT_BYTES:
+            self._reads = [(index, caller) for index, caller in self._reads if index > core.applied]
+        if core.applied - core.log.snapshot.index >= self._compact_entries or self._log_bytes > COMPACT_BYTES:
             self.compact()
         answers, self._answers = self._answers, []
         return Done(out.write, out.send, answers, ready, changed)
 
     def compact(self) -> None:
-        """The state's image takes the place of all that is applied."""
+        """Replaces all applied entries in the log with a snapshot of the state."""
         core = self.core
         term = core.log.term(core.applied)
         if term is not None and core.applied > core.log.snapshot.index:
             core.compact(Snapshot(core.applied, term, self._config_at(core.applied), self.state.image()))
-            self._bytes = 0
+            self._log_bytes = 0
 
     def _config_at(self, index: int) -> Config:
-        """The configuration as of an applied index."""
+        """The configuration in effect at an applied index."""
         log = self.core.log
-        for at in range(index, log.snapshot.index, -1):
-            config = log.get(at).config
+        for position in range(index, log.snapshot.index, -1):
+            config = log.get(position).config
             if config is not None:
                 return config
         return log.snapshot.config
--- a/moleworks/store/state.py
+++ b/moleworks/store/state.py
@@ -1,6 +1,6 @@
-"""The state machine: records with revisions, sessions that apply each change once, duties with fencing tokens.
+"""The state machine: records with revisions, client sessions for exactly-once changes, duties with fencing tokens.
 
-It is told committed changes in order and gives the same answers on every member: no clock, no randomness.
+It applies committed commands in log order and is deterministic, so all members agree: no clock, no randomness.
 """
 
 from __future__ import annotations
@@ -11,48 +11,51 @@
 import msgspec
 from msgspec import Struct
 
-MAX_KEY, MAX_VALUE, MAX_OPS = 512, 256 * 1024, 128
+MAX_KEY_LENGTH, MAX_VALUE_BYTES, MAX_OPS = 512, 256 * 1024, 128
 MAX_SESSIONS = 10_000
-"""More clients than that: the one unused for longest is forgotten, and told so when it comes again."""
+"""Client sessions kept.  Beyond this the least recently used is dropped; its next command is answered `session`."""
 MAX_EVENTS = 20_000
-"""Changes that watches can start from; older revisions are compacted, and a watch is told so."""
+"""Change events kept for watches.  A watch from an older revision is answered `compacted`."""
 
 
 class Put(Struct, frozen=True, tag=True):
-    """Set a record."""
+    """Sets a record."""
 
     key: str
     value: bytes
 
 
 class Delete(Struct, frozen=True, tag=True):
-    """Remove a record; no error where there is none."""
+    """Removes a record; a missing record is not an error."""
 
     key: str
 
 
 class Condition(Struct, frozen=True):
-    """A record must be at this revision; 0: it must not exist."""
+    """Requires a record to be at this revision; 0: the record must not exist."""
 
     key: str
     revision: int
 
 
 class Guard(Struct, frozen=True):
-    """The change counts only under this grant of a duty: an older token is refused."""
+    """Requires that no grant newer than `token` exists for the duty (fencing)."""
 
     duty: str
     token: int
 
 
 class Open(Struct, frozen=True, tag=True):
-    """A client's session begins."""
+    """Opens a client session."""
 
     client: str
 
 
 class Change(Struct, frozen=True, tag=True):
-    """All of it or none.  `number` grows with each change of a client; sent again it is answered, not applied again."""
+    """Applies operations atomically.
+
+    `number` increases with each command of a client.  A retried number returns the first result again.
+    """
 
     client: str
     number: int
@@ -62,7 +65,7 @@
 
 
 class Acquire(Struct, frozen=True, tag=True):
-    """A duty is wanted; granted where nobody holds it, or it was handed over to this holder."""
+    """Requests a grant of a duty: given if nobody holds it, or if it was handed over to this holder."""
 
     client: str
     number: int
@@ -72,7 +75,10 @@
 
 
 class Renew(Struct, frozen=True, tag=True):
-    """The holder goes on; `to` hands the duty over: only that successor may acquire it within the grant's time."""
+    """Renews a grant, or releases it.
+
+    `to` hands the duty over: until the grant expires, only that successor may acquire it.
+    """
 
     client: str
     number: int
@@ -83,7 +89,7 @@
 
 
 class Expire(Struct, frozen=True, tag=True):
-    """A leader has counted a grant's time out since it applied the last renewal; void if there was one since."""
+    """Expires a grant whose lease has passed by the leader's clock; ignored if it was renewed meanwhile."""
 
     duty: str
     token: int
@@ -94,7 +100,7 @@
 
 
 class Result(Struct, frozen=True):
-    """What became of a command: `done`, or `why` not.  `revision` as of then; `token` of a grant."""
+    """The result of a command: `done`, or `why` not; the revision after it; `token` and `holder` of the grant."""
 
     done: bool
     revision: int
@@ -104,7 +110,7 @@
 
 
 class Record(Struct):
-    """A value, the revision that made it and the one that changed it last."""
+    """A value, with the revisions at which the record was created and last changed."""
 
     value: bytes
     created: int
@@ -112,7 +118,7 @@
 
 
 class Event(Struct, frozen=True):
-    """A change of one record; `value` None: it was removed."""
+    """A change of one record; `value` is None if it was removed."""
 
     revision: int
     key: str
@@ -120,7 +126,7 @@
 
 
 class Grant(Struct):
-    """Who holds a duty.  `token` is never given again, `renewals` counts what the granter saw of it."""
+    """The current grant of a duty.  A `token` is never reused; `renewals` counts the renewals."""
 
     token: int
     holder: str
@@ -135,7 +141,7 @@
 
 
 class _Image(Struct):
-    """A snapshot's content."""
+    """The content of a snapshot."""
 
     revision: int
     records: dict[str, Record]
@@ -153,27 +159,27 @@
 
 
 def encode(command: Command) -> bytes:
-    """A command as an entry's data."""
+    """Encodes a command as data of a log entry."""
     return _ENCODE(command)
 
 
 class State:
-    """Everything that members agree on."""
+    """The replicated state."""
 
     def __init__(self) -> None:
         self.revision = 0
         self.records: dict[str, Record] = {}
         self.grants: dict[str, Grant] = {}
-        self.tokens: dict[str, int] = {}      # the newest token ever given, by duty
+        self.tokens: dict[str, int] = {}      # the highest token ever granted, by duty
         self._sessions: OrderedDict[str, _Session] = OrderedDict()
         self._events: deque[Event] = deque()
-        self.compacted = 0                    # watches start after this revision at the earliest
-        self.floor = 0                        # every token is above it: what was given before a restore is below
+        self.compacted = 0                    # watches can only start from this revision or a later one
+        self.floor = 0                        # lower bound of tokens: those granted before a restore are below
 
     # ---- Changes ----------------------------------------------------------------------------------------
 
     def apply(self, data: bytes) -> tuple[Command | None, Result]:
-        """One committed entry.  What can't be read changes nothing, and is the same on every member."""
+        """Applies the data of a committed entry.  Malformed data changes nothing, on every member alike."""
         try:
             command = _COMMAND.decode(data)
         except msgspec.DecodeError as error:
@@ -208,7 +214,7 @@
 
     def _change(self, command: Change) -> Result:
         for op in command.ops:
-            if not 0 < len(op.key) <= MAX_KEY or (isinstance(op, Put) and len(op.value) > MAX_VALUE):
+            if not 0 < len(op.key) <= MAX_KEY_LENGTH or (isinstance(op, Put) and len(op.value) > MAX_VALUE_BYTES):
                 return Result(False, self.revision, "too large")
         if len(command.ops) > MAX_OPS:
             return Result(False, self.revision, "too large")
@@ -225,7 +231,7 @@
         return Result(True, self.revision)
 
     def _token_is_current(self, guard: Guard) -> bool:
-        """An older grant's holder may go on as if nothing had been: what it wants is refused."""
+        """Whether no newer token was granted: a holder may continue after its grant has expired."""
         return guard.token >= self.tokens.get(guard.duty, 0) and guard.token > self.floor
 
     def _set(self, key: str, value: bytes | None) -> None:
@@ -250,7 +256,7 @@
         grant = self.grants.get(command.duty)
         if grant is not None and grant.to != command.holder:
             return Result(False, self.revision, "held", grant.token, grant.holder)
-        if not 0 < command.ttl_ms <= 3_600_000 or not 0 < len(command.duty) <= MAX_KEY:
+        if not 0 < command.ttl_ms <= 3_600_000 or not 0 < len(command.duty) <= MAX_KEY_LENGTH:
             return Result(False, self.revision, "out of range")
         token = max(self.tokens.get(command.duty, 0), self.floor) + 1
         self.tokens[command.duty] = token
@@ -277,18 +283,17 @@
     # ---- Reads ------------------------------------------------------------------------------------------
 
     def get(self, key: str) -> Record | None:
-        """A record, or None."""
         return self.records.get(key)
 
-    def prefix(self, prefix: str, most: int, after: str = "") -> list[tuple[str, Record]]:
-        """Records whose keys begin so and lie beyond `after`, in order, at most so many."""
-        if not most:
+    def prefix(self, prefix: str, limit: int, after: str = "") -> list[tuple[str, Record]]:
+        """At most `limit` records whose keys have this prefix and are greater than `after`, in key order."""
+        if not limit:
             return []
         found = sorted(key for key in self.records if key.startswith(prefix) and key > after)
-        return [(key, self.records[key]) for key in found[:most]]
+        return [(key, self.records[key]) for key in found[:limit]]
 
     def events(self, after: int, prefix: str) -> Iterator[Event] | None:
-        """Changes later than a revision, in order; None where they are no longer known."""
+        """Changes after a revision, in order; None if that revision is compacted."""
         if after < self.compacted:
             return None
         return (event for event in self._events if event.revision > after and event.key.startswith(prefix))
@@ -296,13 +301,13 @@
     # ---- Snapshots --------------------------------------------------------------------------------------
 
     def image(self) -> bytes:
-        """All of it, sessions and tokens too: without those a change sent again would be applied twice."""
+        """Serializes the state, with sessions and tokens: without sessions a retried change would be applied twice."""
         return _ENCODE(_Image(self.revision, self.records, dict(self._sessions), self.grants, self.tokens,
                               self.revision, floor=self.floor))
 
     @classmethod
     def from_image(cls, image: bytes) -> State:
-        """From a snapshot; empty bytes are the empty state.  Raises msgspec.DecodeError."""
+        """Restores a serialized state; empty bytes are the empty state.  Raises msgspec.DecodeError."""
         state = cls()
         if image:
             told = _IMAGE.decode(image)
@@ -312,11 +317,12 @@
             state.compacted, state.floor = told.compacted, told.floor
         return state
 
-    def anew(self, step: int) -> None:
-        """As of a restore: what was promised after this state's time is unknown, and nothing may be taken for it.
+    def prepare_after_restore(self, step: int) -> None:
+        """Prepares a state that was restored from a backup: later revisions and tokens are unknown and must not recur.
 
-        Revisions and tokens go on above any that can have been given since: their upper half counts restores, by
-        `step` (1 and a random part, so that two restores of one backup differ).  Sessions and grants are forgotten.
+        Revisions and tokens continue above all that may have been given since: their upper half counts restores, in
+        steps of `step` (1 plus a random part, so that two restores of one backup differ).  Sessions and grants are
+        dropped.
         """
         self.floor = max(self.revision >> 32, self.floor >> 32) + step << 32
         self.revision = self.compacted = self.floor
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store's core by histories under faults, known errors that must be found, and cases that were once wrong."""
+"""The store's consensus core: simulated histories under faults, injected errors that must be found, and regressions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return Core(name, Log(Snapshot(0, 0, config, b""), entries), term, "", random.Random(1), 0)
 
 
-def test_histories_under_faults_hold() -> None:
+def test_histories_under_faults_are_linearizable() -> None:
     for seed in range(60):
         verdict = histories.judge(seed)
         assert verdict.broken == [] and verdict.undecided == 0, seed
@@ -34,7 +34,7 @@
     "vote without a look at the log", "half of the votes", "sessions not kept in snapshots",
     "members changed two at once", "token not checked", "sent again, applied again", "token given again",
     "lease counted from the answer", "lease let go early", "renewal not counted", "cut not written"])
-def test_a_known_error_is_found(name: str) -> None:
+def test_an_injected_error_is_detected(name: str) -> None:
     count, seen = histories.hunt(MUTANTS[name], 60)
     assert count and seen
 
@@ -42,12 +42,12 @@
 @pytest.mark.parametrize(("name", "seed"), [
     ("older term committed by counting", 258), ("stale read served", 39), ("vote not persisted", 175),
     ("members lost in a snapshot", 267)])
-def test_a_known_error_that_few_histories_show_is_found_by_the_one_that_did(name: str, seed: int) -> None:
+def test_a_rarely_visible_injected_error_is_detected_by_its_known_seed(name: str, seed: int) -> None:
     assert histories.judge(seed, MUTANTS[name]).broken
     assert not histories.judge(seed).broken
 
 
-def test_every_state_of_a_small_world_holds_and_half_of_the_votes_is_found() -> None:
+def test_exhaustive_search_passes_and_detects_election_by_half_of_the_votes() -> None:
     found = explore.search(explore.Budget(timeouts=1, writes=1, crashes=0, cuts=0))
     assert found.whole and not found.broken and found.states > 1000
     broken = explore.search(explore.Budget(timeouts=2, writes=0, crashes=0, cuts=0),
@@ -55,7 +55,7 @@
     assert broken.broken == "two leaders of term 1" and len(broken.path) < 8
 
 
-def test_the_same_seed_is_the_same_history() -> None:
+def test_the_same_seed_gives_the_same_history() -> None:
     assert histories.judge(5) == histories.judge(5)
 
 
@@ -77,19 +77,19 @@
     (False, [put(0, 5, "x"), Op(6, 7, "cas", ("x", "y"), True), Op(6, 9, "cas", ("x", "z"), True)]),
     (False, [put(0, 5, "x"), Op(6, 7, "cas", ("x", "y"), False), get(8, 9, "x")]),
     (True, [put(0, 5, "x"), put(1, None, "q"), Op(6, 7, "cas", ("x", "y"), False), get(8, 9, "q")])])
-def test_the_checker_tells_good_histories_from_bad(good: bool, ops: list[Op]) -> None:
+def test_the_checker_accepts_exactly_the_linearizable_histories(good: bool, ops: list[Op]) -> None:
     assert linearizable(ops) is good
 
 
-def test_two_holders_at_once_are_seen() -> None:
+def test_two_holders_at_once_are_detected() -> None:
     rows = [Holding("d", "a", 1, 0, 10), Holding("d", "b", 2, 10, 20)]
     assert held_twice(rows) == []
     assert held_twice([rows[0], Holding("d", "b", 2, 9, 20)]) != []
     assert held_twice([rows[1], Holding("d", "a", 1, 30, 40)]) != []
 
 
-def test_a_leader_finds_where_a_follower_stands_though_terms_differ() -> None:
-    """A follower's answer pointed below what the leader knew to match, and was passed over for good."""
+def test_a_leader_finds_the_matching_index_of_a_follower_with_other_terms() -> None:
+    """Guards against a leader that always ignores a rejection whose hint is below the known matching index."""
     leader = core("a", Entry(1, 1), Entry(2, 1), *(Entry(index, 3) for index in range(3, 50)), term=3)
     follower = core("b", Entry(1, 1), Entry(2, 1), Entry(3, 1), term=3)
     for _ in range(60):
@@ -99,26 +99,33 @@
     leader.vote = "a"
     leader.role = "candidate"
     leader._durable_vote = (3, "a")
-    leader._lead()
+    leader._become_leader()
     peer = leader._peers["b"]
     peer.match, peer.next, peer.probing = 2, 50, False
     leader.on_message(2, "b", Appended(3, False, 1, 1))
     assert peer.probing and peer.next == 3
 
 
-def test_a_member_that_is_being_taken_out_still_stands_until_that_is_committed() -> None:
-    """Only it had the entry that took it out: the others would not vote for an older log, and it did not stand."""
+def test_a_member_campaigns_until_its_removal_is_committed() -> None:
+    """Guards against a cluster without a leader.
+
+    Only the member that is being removed had the entry that removes it.  It did not campaign, and the others were not
+    elected because their logs were older.
+    """
     member = core("a", Entry(1, 1), Entry(2, 1, b"", Config(("b",))))
     member.tick(10**10)
     assert [(to, message.pre) for to, message in member.take_output().send if isinstance(message, Ask)] == [("b", True)]
-    gone = core("a", Entry(1, 1), Entry(2, 1, b"", Config(("b",))))
-    gone.commit = 2
-    gone.tick(10**10)
-    assert gone.take_output().send == []
+    removed = core("a", Entry(1, 1), Entry(2, 1, b"", Config(("b",))))
+    removed.commit = 2
+    removed.tick(10**10)
+    assert removed.take_output().send == []
+
 
+def test_a_learner_grants_votes_after_its_leader_has_failed() -> None:
+    """Guards against a learner that rejects the only electable candidate forever.
 
-def test_a_member_that_does_not_vote_yet_forgets_a_leader_that_is_gone() -> None:
-    """Its time-out counted as word from the leader: it refused its vote to the only one that could lead, for good."""
+    Its own election timeout was taken for contact from the leader.
+    """
     member = core("m", Entry(1, 1), config=Config(("a", "b")))
     member.on_message(0, "a", Append(1, 1, 1, (), 1, 1))
     member.take_output()
@@ -128,7 +135,7 @@
     assert [message.granted for _, message in member.take_output().send if isinstance(message, Vote)] == [True]
 
 
-def test_one_member_alone_leads_and_commits_only_what_is_on_disk() -> None:
+def test_a_single_member_leads_and_commits_only_durable_entries() -> None:
     member = core("a", config=Config(("a",)))
     member.tick(10**10)
     out = member.take_output()
@@ -146,7 +153,7 @@
     return machine.apply(encode(command))[1]
 
 
-def test_a_change_is_whole_or_not_at_all_and_applied_once() -> None:
+def test_a_change_is_atomic_and_applied_once() -> None:
     machine = State()
     change = Change("c", 1, (Put("a", b"1"), Put("b", b"2")))
     assert done(machine, change).why == "session"
@@ -156,32 +163,32 @@
     refused = done(machine, Change("c", 2, (Put("a", b"3"),), (Condition("a", 1), Condition("z", 9))))
     assert (refused.done, refused.why) == (False, "condition") and machine.records["a"].value == b"1"
     again = State.from_image(machine.image())
-    assert done(again, Change("c", 2, (Put("a", b"3"),))) == refused   # the session came with the snapshot
+    assert done(again, Change("c", 2, (Put("a", b"3"),))) == refused   # the snapshot contains the session
     assert not machine.apply(b"\xc1 no command")[1].done
     assert next(iter(machine.events(0, "b") or ())).value == b"2" and again.events(0, "") is None
 
 
-def test_tokens_only_grow_and_an_older_one_is_refused() -> None:
+def test_tokens_increase_and_an_older_one_is_rejected() -> None:
     machine = State()
     for name in ("a", "b"):
         done(machine, Open(name))
     first = done(machine, Acquire("a", 1, "lead", "a", 1000))
     assert done(machine, Acquire("b", 1, "lead", "b", 1000)).why == "held"
     renewed = done(machine, Renew("a", 2, "lead", first.token))
-    assert renewed.done and not done(machine, Expire("lead", first.token, 0)).done   # it was renewed since
+    assert renewed.done and not done(machine, Expire("lead", first.token, 0)).done   # it has been renewed
     assert done(machine, Expire("lead", first.token, 1)).done
     second = done(machine, Acquire("b", 2, "lead", "b", 1000))
     assert second.token == first.token + 1
-    late = done(machine, Change("a", 3, (Put("x", b"late"),), (), Guard("lead", first.token)))
-    assert (late.done, late.why, late.token) == (False, "token", second.token)
+    outdated = done(machine, Change("a", 3, (Put("x", b"late"),), (), Guard("lead", first.token)))
+    assert (outdated.done, outdated.why, outdated.token) == (False, "token", second.token)
     assert done(machine, Change("b", 3, (Put("x", b"y"),), (), Guard("lead", second.token))).done
-    handed = done(machine, Renew("b", 4, "lead", second.token, False, "a"))
-    assert handed.done and done(machine, Acquire("a", 4, "lead", "a", 1000)).token == second.token + 1
+    handed_over = done(machine, Renew("b", 4, "lead", second.token, False, "a"))
+    assert handed_over.done and done(machine, Acquire("a", 4, "lead", "a", 1000)).token == second.token + 1
 
 
-def test_a_holder_has_stopped_before_the_granter_lets_go_by_any_clock() -> None:
+def test_a_holder_stops_before_the_granter_expires_the_grant_at_any_clock_rates() -> None:
     from moleworks.store.grants import GRANT_TIMEOUT_FACTOR
     held = Held("d", 1, 1000, sent=0)
-    slowest = held.expires_at / 0.99                # real time at which a slow holder stops
-    fastest = 1000 * 1e6 * GRANT_TIMEOUT_FACTOR / 1.01   # and at which a fast granter lets go, counted from later
-    assert slowest < fastest and held.holds(held.expires_at - 1) and not held.holds(held.expires_at)
+    holder_stops_at = held.expires_at / 0.99                # real time at which a holder with a slow clock stops
+    granter_expires_at = 1000 * 1e6 * GRANT_TIMEOUT_FACTOR / 1.01   # the same for a granter with a fast clock
+    assert holder_stops_at < granter_expires_at and held.holds(held.expires_at - 1) and not held.holds(held.expires_at)
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -1,4 +1,4 @@
-"""The store's way back: backups, restores, and disks that are remembered by those who met them."""
+"""Backup and restore of the store, rejection of disks restored to an earlier state, and the duty commands."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
                           env={**os.environ, "MOLEWORKS_STORE": members})
 
 
-def test_a_restored_store_has_all_records_and_nothing_of_before_is_taken_for_its_own(
+def test_a_restored_store_has_all_records_and_rejects_tokens_and_revisions_from_before(
         store: Store, tmp_path: Path) -> None:
     file, members = tmp_path / "backup", ",".join(map(store.where, NAMES))
 
@@ -37,17 +37,17 @@
         await store.leader()
         async with store.client() as client:
             for number in range(30):
-                await client.change((Put(f"k{number}", bytes(20_000)),))     # more than one piece
+                await client.change((Put(f"k{number}", bytes(20_000)),))     # more than one chunk
             held = await client.acquire("lead", "one", 3_600_000)
             assert held.done
-            told = command("store", "backup", str(file), members=members)
-            assert told.returncode == 0 and "30 records" in told.stdout, told
+            result = command("store", "backup", str(file), members=members)
+            assert result.returncode == 0 and "30 records" in result.stdout, result
             later = await client.change((Put("late", b""),))
             other = await client.acquire("other", "one", 3_600_000)
         for name in NAMES:
             store.kill(name)
-        told = command("store", "restore", str(file), "--folder", str(tmp_path / "d"), "--name", "d")
-        assert told.returncode == 0, told
+        result = command("store", "restore", str(file), "--folder", str(tmp_path / "d"), "--name", "d")
+        assert result.returncode == 0, result
         store.start("d", "--peers", f"d={store.where('d')}")
         async with Client([store.at["d"]], "t") as client:
             assert len((await client.list("k")).rows or []) == 30
@@ -62,18 +62,18 @@
                 assert fresh.done and fresh.token > token + 1000
                 assert (await client.change((Put("x", b""),), (), Guard(duty, fresh.token))).revision > later.revision
     play(scene)
-    again = command("store", "restore", str(file), "--folder", str(tmp_path / "d"), "--name", "d")
-    assert again.returncode == 1 and "holds a store already" in again.stderr
+    second_restore = command("store", "restore", str(file), "--folder", str(tmp_path / "d"), "--name", "d")
+    assert second_restore.returncode == 1 and "holds a store already" in second_restore.stderr
     data = file.read_bytes()
     for bad in (data[:-1], data[:40], b"x" + data, data[:-3] + b"abc"):
         file.write_bytes(bad)
         with pytest.raises(CorruptStore):
             backup.read(file)
-    left = command("store", "backup", str(tmp_path / "left"), "--folder", str(tmp_path / "a"), "--name", "a")
-    assert left.returncode == 0 and "31 records" in left.stdout, left    # of a member that is all that is left
+    last_backup = command("store", "backup", str(tmp_path / "left"), "--folder", str(tmp_path / "a"), "--name", "a")
+    assert last_backup.returncode == 0 and "31 records" in last_backup.stdout, last_backup    # the only one left
 
 
-def test_a_disk_that_was_put_back_is_refused_though_all_others_have_restarted_since(store: Store) -> None:
+def test_an_older_disk_is_rejected_even_after_all_other_members_have_restarted(store: Store) -> None:
     async def scene() -> None:
         leader = await store.leader()
         name, other = (peer for peer in NAMES if peer != leader)
@@ -81,13 +81,13 @@
         shutil.copytree(store.folder / name, store.folder / "old")
         store.start(name)
         store.kill(other)
-        async with store.client(leader) as client:      # a majority with the one that is back: the leader has met it
+        async with store.client(leader) as client:      # its majority includes the restarted member
             assert (await client.change((Put("k", b""),))).done
         for peer in (name, leader):
             store.kill(peer)
         shutil.rmtree(store.folder / name)
         shutil.copytree(store.folder / "old", store.folder / name)
-        process = store.start(name)      # before the others: nobody is there that would remember in memory
+        process = store.start(name)      # before the others, so that no running member has its last start in memory
         for peer in (leader, other):
             store.start(peer)
         _, err = await asyncio.to_thread(process.communicate, None, 20)
@@ -95,17 +95,17 @@
     play(scene)
 
 
-def test_disks_are_told_apart_by_starts_and_by_the_word_drawn_at_each() -> None:
+def test_disks_are_identified_by_start_counts_and_start_identifiers() -> None:
     known = Hello("a", "x", "disk", 5, "five", "four")
     assert rejection_reason(None, known) == rejection_reason(known, known) == ""
     assert rejection_reason(known, Hello("a", "y", "disk", 6, "six", "five")) == ""
-    assert rejection_reason(known, Hello("a", "x", "disk", 8, "eight", "seven")) == ""   # not met in between
+    assert rejection_reason(known, Hello("a", "x", "disk", 8, "eight", "seven")) == ""   # skipped starts
     assert "another disk" in rejection_reason(known, Hello("a", "x", "new", 9, "nine", "eight"))
     for boot, life, before in ((4, "four", "three"), (5, "again", "four"), (6, "six", "again")):
         assert "older" in rejection_reason(known, Hello("a", "x", "disk", boot, life, before))
 
 
-def test_duties_by_command_acquired_renewed_watched_and_let_go(store: Store) -> None:
+def test_duty_commands_acquire_renew_watch_and_release(store: Store) -> None:
     members = ",".join(map(store.where, NAMES))
 
     async def scene() -> None:
--- a/tests/test_store_real.py
+++ b/tests/test_store_real.py
@@ -1,4 +1,4 @@
-"""The store and duties as processes: members killed, stopped, put back to older disks; holders that go on too late."""
+"""The store and duties as processes: members killed, stopped, with restored disks; holders that outlive their lease."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Store:
-    """Three members as processes, each with a folder."""
+    """A cluster of three member processes, each with its own folder."""
 
     def __init__(self, folder: Path) -> None:
         self.block = Block()
@@ -43,7 +43,7 @@
         return "{}:{}".format(*self.at[name])
 
     def start(self, name: str, *more: str, file_bytes: int = 0) -> subprocess.Popen[str]:
-        """With `file_bytes` its files can't grow past that: to a program, a disk that is full."""
+        """Starts a member.  `file_bytes` limits the size of its files, which simulates a full disk."""
         def limit() -> None:
             if file_bytes:
                 resource.setrlimit(resource.RLIMIT_FSIZE, (file_bytes, file_bytes))
@@ -62,7 +62,7 @@
         return Client([self.at[name] for name in names or NAMES], "t", timeout_s)
 
     async def leader(self) -> str:
-        """Its name, once every member that runs agrees."""
+        """The leader's name, once all running members agree on it."""
         while True:
             rows = []
             for name in NAMES:
@@ -114,7 +114,7 @@
                 while not stop.is_set():
                     key = f"w/{number}/{count}"
                     result = await client.change((Put(key, b"x"),), (Condition(key, 0),))
-                    assert result.done, result   # sent again, it is applied once: the condition would fail
+                    assert result.done, result   # a retry must not be applied twice: the condition would fail
                     acknowledged[key] = result.revision
                     count += 1
 
@@ -134,7 +134,7 @@
         before = len(acknowledged)
         while len(acknowledged) < before + 100:
             await asyncio.sleep(0.01)
-        assert time.monotonic() - killed < 4.0   # a new leader within 2 s, and a hundred writes
+        assert time.monotonic() - killed < 4.0   # a new leader within 2 s, then 100 writes
         store.start(leader)
         stop.set()
         await asyncio.gather(*writers)
@@ -144,20 +144,20 @@
         while len(events) < len(acknowledged):
             await asyncio.sleep(0.01)
         watching.cancel()
-        assert events == sorted((revision, key) for key, revision in acknowledged.items())   # no gap, no repeat
+        assert events == sorted((revision, key) for key, revision in acknowledged.items())   # no gaps, no repeats
     play(scene)
 
 
-def test_a_holder_that_was_stopped_past_its_lease_is_followed_and_its_late_write_refused(store: Store) -> None:
+def test_a_holder_stopped_past_its_lease_is_replaced_and_its_late_write_rejected(store: Store) -> None:
     async def scene() -> None:
         async with store.client() as one, store.client() as other:
             first, second = Holder(one, "lead", "one", 500), Holder(other, "lead", "other", 500)
-            held = await first.acquire()          # and does not renew: as if stopped, in the middle of its work
+            held = await first.acquire()          # never renews, like a process that is stopped during its work
             begun = time.monotonic()
             assert not (await other.acquire("lead", "other", 500)).done
             assert (await other.list("", 0)).grants is not None
             newer = await second.acquire()
-            assert 0.5 < time.monotonic() - begun < 1.6   # the lease, and at most a second
+            assert 0.5 < time.monotonic() - begun < 1.6   # the lease, and at most 1 s more
             assert newer.token == held.token + 1 and not first.holds() and second.holds()
             late = await one.change((Put("work", b"late"),), (), Guard("lead", held.token))
             assert (late.done, late.why, late.token) == (False, "token", newer.token)
@@ -165,11 +165,11 @@
             began = time.monotonic()
             await second.release(to="one")
             assert (await first.acquire()).token == newer.token + 1
-            assert time.monotonic() - began < 0.5         # handed over, not waited for
+            assert time.monotonic() - began < 0.5         # handed over, without waiting for the lease to expire
     play(scene)
 
 
-def test_what_runs_under_a_duty_ends_before_it_is_lost_and_another_follows(store: Store, tmp_path: Path) -> None:
+def test_a_command_under_a_duty_ends_before_another_process_acquires_it(store: Store, tmp_path: Path) -> None:
     async def scene() -> None:
         await store.leader()
         log = tmp_path / "log"
@@ -190,7 +190,7 @@
             while "begin 2" not in log.read_text():
                 await asyncio.sleep(0.02)
             holder.send_signal(signal.SIGCONT)
-            assert await asyncio.to_thread(holder.wait, 10) == 75   # it sees that it is too late
+            assert await asyncio.to_thread(holder.wait, 10) == 75   # it detects that the lease has expired
             assert "end 1" in log.read_text()
         finally:
             for run in runs:
@@ -200,7 +200,7 @@
     play(scene)
 
 
-def test_members_come_and_go_under_a_name_that_no_other_disk_takes(store: Store) -> None:
+def test_members_are_added_and_removed_and_no_other_disk_takes_a_used_name(store: Store) -> None:
     async def scene() -> None:
         leader = await store.leader()
         store.start("d", "--join")
@@ -220,25 +220,25 @@
                 assert len((await at_d.list("k")).rows or []) == 300
         other = next(name for name in NAMES if name not in (leader, gone))
         store.kill(other)
-        shutil.rmtree(store.folder / other)     # the same name with an empty disk: it may have voted before
+        shutil.rmtree(store.folder / other)     # the same name with an empty disk, which lacks its votes
         process = store.start(other)
         _, err = await asyncio.to_thread(process.communicate, None, 20)
         assert process.returncode == 1 and "another disk than before" in err
     play(scene)
 
 
-def test_members_behind_links_under_faults_keep_what_they_answered(tmp_path: Path) -> None:
+def test_members_under_network_faults_keep_acknowledged_changes(tmp_path: Path) -> None:
     told = members.play(StoreExperiment("Random", "members", 3, 2.5, drawn=4), tmp_path)
     assert told["broken"] == [] and told["faults"] and told["figures"]["operations"] > 50
 
 
-def test_a_disk_put_back_to_an_earlier_time_is_refused(store: Store) -> None:
+def test_a_disk_restored_to_an_earlier_state_is_rejected(store: Store) -> None:
     async def scene() -> None:
         leader = await store.leader()
         name = next(peer for peer in NAMES if peer != leader)
         store.kill(name)
         shutil.copytree(store.folder / name, store.folder / "old")
-        for _ in range(2):                      # two more starts that the others have seen
+        for _ in range(2):                      # two more starts, which the other members have seen
             store.start(name)
             async with store.client(name) as client:
                 while (await client.status()).leader != leader:
@@ -252,7 +252,7 @@
     play(scene)
 
 
-def test_a_damaged_entry_stops_the_member_with_one_line(store: Store) -> None:
+def test_a_corrupt_entry_stops_the_member_with_a_one_line_error(store: Store) -> None:
     async def scene() -> None:
         leader = await store.leader()
         name = next(peer for peer in NAMES if peer != leader)
@@ -270,7 +270,7 @@
     play(scene)
 
 
-def test_a_member_whose_disk_is_full_ends_and_the_others_go_on(store: Store) -> None:
+def test_a_member_with_a_full_disk_stops_and_the_others_continue(store: Store) -> None:
     async def scene() -> None:
         leader = await store.leader()
         name = next(peer for peer in NAMES if peer != leader)
@@ -285,15 +285,15 @@
         _, err = process.communicate()
         assert process.returncode == 1 and err.count("\n") == 1 and "store.db" in err
         assert "full" in err or "I/O error" in err
-        back = store.start(name)               # there is room again: what it had promised is there
+        restarted = store.start(name)               # with space again, all acknowledged changes are there
         async with store.client(name) as client:
             while (await client.status()).revision < count + 1:
                 await asyncio.sleep(0.02)
-        assert back.poll() is None
+        assert restarted.poll() is None
     play(scene)
 
 
-def test_what_is_no_frame_of_this_cluster_ends_its_connection_and_nothing_else(store: Store) -> None:
+def test_an_invalid_frame_closes_only_its_own_connection(store: Store) -> None:
     async def scene() -> None:
         leader = await store.leader()
         cluster = wire.cluster_id("t")
