--- a/moleworks/duties/holder.py
+++ b/moleworks/duties/holder.py
@@ -19,7 +19,6 @@
 log = logs.get("duty")
 
 RENEWALS_PER_LEASE = 3.0
-"""Renewals per lease duration."""
 STOP_FRACTION = 0.25
 """Last fraction of a lease, reserved for ending the work that depends on it."""
 
@@ -75,12 +74,12 @@
         held = self.held
         assert held is not None
         while not until():
-            left = (held.expires_at - time.monotonic_ns()) / 1e9
-            if left < self.ttl_ms / 1000 * STOP_FRACTION:
+            left_s = (held.expires_at - time.monotonic_ns()) / 1e9
+            if left_s < self.ttl_ms / 1000 * STOP_FRACTION:
                 return "no renewal in time"
             sent = time.monotonic_ns()
             try:
-                async with asyncio.timeout(left - self.ttl_ms / 1000 * STOP_FRACTION + 0.001):
+                async with asyncio.timeout(left_s - self.ttl_ms / 1000 * STOP_FRACTION + 0.001):
                     result = await self._client.renew(self.duty, held.token)
                 if not result.done:
                     return result.why
@@ -109,17 +108,17 @@
     held = await holder.acquire()
     process = await asyncio.create_subprocess_exec(*command, start_new_session=True, preexec_fn=die_with_parent,
                                                    env=_environment(holder, held.token))
-    keeping = asyncio.create_task(holder.renew_until_lost())
+    renewing = asyncio.create_task(holder.renew_until_lost())
     waiting = asyncio.create_task(process.wait())
     try:
-        await asyncio.wait((keeping, waiting), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((renewing, waiting), return_when=asyncio.FIRST_COMPLETED)
         if not waiting.done():
-            log.error("duty_lost", duty=holder.duty, why=keeping.result())
+            log.error("duty_lost", duty=holder.duty, why=renewing.result())
             await _terminate(process, (held.expires_at - time.monotonic_ns()) / 1e9)
             return 75
         return await waiting
     finally:
-        keeping.cancel()
+        renewing.cancel()
         if process.returncode is None:
             await _terminate(process, 1.0)
         await holder.release()
--- a/moleworks/gossip/core.py
+++ b/moleworks/gossip/core.py
@@ -55,11 +55,13 @@
 
     address: str
     incarnation: int
-    state: int
-    since: int
+    state: int          # ALIVE, SUSPECT, DEAD or LEFT
+    since: int          # time at which the state changed
 
 
 class _PendingRequest(Struct):
+    """A digest request without a reply: the member that it was sent to, and when."""
+
     whom: str
     at: int
 
--- a/moleworks/gossip/messages.py
+++ b/moleworks/gossip/messages.py
@@ -125,8 +125,8 @@
     """Decodes a datagram.  Raises ForeignDatagram."""
     if len(data) > MAX_DATAGRAM_BYTES or len(data) < _HEAD.size:
         raise ForeignDatagram("datagram size out of range")
-    version, whose = _HEAD.unpack_from(data)
-    if version != VERSION or whose != fleet:
+    version, sender_fleet = _HEAD.unpack_from(data)
+    if version != VERSION or sender_fleet != fleet:
         raise ForeignDatagram("wrong fleet or version")
     try:
         return _DECODE.decode(data[_HEAD.size:])
--- a/moleworks/gossip/values.py
+++ b/moleworks/gossip/values.py
@@ -17,6 +17,7 @@
 AGE_FACTOR = 1.02
 """Factor on ages measured by the local clock, as clock rates may differ by 1 in 100."""
 NEVER_NS = -(1 << 62)
+"""Time that stands for "never" in `Owner.fresh`."""
 
 
 class Owner(Struct):
--- a/moleworks/store/client.py
+++ b/moleworks/store/client.py
@@ -56,7 +56,7 @@
 
     def __init__(self, addresses: Mapping[str, tuple[str, int]] | Sequence[tuple[str, int]], cluster: str,
                  timeout_s: float = 10.0) -> None:
-        self._names = dict(addresses) if isinstance(addresses, Mapping) else {}
+        self._addresses_by_name = dict(addresses) if isinstance(addresses, Mapping) else {}
         self._addresses = list(addresses.values() if isinstance(addresses, Mapping) else addresses)
         self._cluster = wire.cluster_id(cluster)
         self._timeout_s = timeout_s
@@ -73,7 +73,7 @@
 
     def clone(self) -> Client:
         """Returns a client of the same members with a separate session and separate connections."""
-        clone = Client(self._names or self._addresses, "", self._timeout_s)
+        clone = Client(self._addresses_by_name or self._addresses, "", self._timeout_s)
         clone._cluster = self._cluster
         return clone
 
@@ -121,14 +121,14 @@
             for number, queue in self._answer_queues.items():
                 queue.put_nowait(Answer(number, error="gone"))
 
-    async def _try_once(self, what: Any) -> Answer:
+    async def _try_once(self, request: Any) -> Answer:
         """Makes one try.  Raises OSError or TimeoutError if there is no answer."""
         writer = await self._connect()
         self._last_call_id += 1
         number = self._last_call_id
         queue = self._answer_queues[number] = asyncio.Queue(4)
         try:
-            writer.write(wire.frame(self._cluster, ENCODE(Call(number, what))))
+            writer.write(wire.frame(self._cluster, ENCODE(Call(number, request))))
             async with asyncio.timeout(TRY_TIMEOUT_S):
                 answer = await queue.get()
         finally:
@@ -137,13 +137,13 @@
             raise ConnectionResetError
         return answer
 
-    async def call(self, what: Any) -> Answer:
+    async def call(self, request: Any) -> Answer:
         """Retries until a member has handled the call.  Raises Unavailable, Refused."""
         deadline = time.monotonic() + self._timeout_s
         backoff_s = 0.02
         while True:
             try:
-                answer = await self._try_once(what)
+                answer = await self._try_once(request)
             except (OSError, TimeoutError, wire.WireError):
                 await self._disconnect()
                 self._current_address = None
@@ -163,8 +163,8 @@
         assert answer.elsewhere is not None
         if answer.elsewhere.busy:
             return
-        address = self._names.get(answer.elsewhere.leader)
-        if address is None and not self._names:
+        address = self._addresses_by_name.get(answer.elsewhere.leader)
+        if address is None and not self._addresses_by_name:
             try:
                 address = wire.address(answer.address)
             except ValueError:   # no leader is known
@@ -266,14 +266,14 @@
             except (OSError, TimeoutError):
                 await self._lost()
 
-    async def _stream(self, what: Watch | WatchDuty) -> AsyncIterator[Answer]:
+    async def _stream(self, request: Watch | WatchDuty) -> AsyncIterator[Answer]:
         """Yields the answers to one call.  Raises OSError when the connection ends, TimeoutError when it is silent."""
         self._last_call_id += 1
         number = self._last_call_id
         queue = self._answer_queues[number] = asyncio.Queue(10_000)
         try:
             writer = await self._connect()
-            writer.write(wire.frame(self._cluster, ENCODE(Call(number, what))))
+            writer.write(wire.frame(self._cluster, ENCODE(Call(number, request))))
             while True:
                 async with asyncio.timeout(WATCH_TIMEOUT_S):
                     answer = await queue.get()
@@ -307,8 +307,8 @@
                         raise Refused(f"revision {after} is compacted; the latest is {answer.revision}")
                     if answer.error:
                         raise Refused(answer.error)
-                    fresh = [event for event in answer.events or () if event.revision > after]
+                    new_events = [event for event in answer.events or () if event.revision > after]
                     after = max(after, answer.revision)
-                    yield fresh, after
+                    yield new_events, after
             except (OSError, TimeoutError):
                 await self._lost()
--- a/moleworks/store/core.py
+++ b/moleworks/store/core.py
@@ -77,12 +77,12 @@
         self.next = next_index
         self.match = 0
         self.probing = True      # one Append at a time until the matching index is found
-        self.inflight = 0
+        self.inflight = 0        # Append messages without a reply
         self.last_response_at = now
-        self.round = 0
+        self.round = 0           # last heartbeat round that the follower has acknowledged
         self.snapshot_offset = 0    # bytes of the snapshot that the follower has received
         self.snapshot_index = 0     # index of the snapshot in transfer
-        self.sent_at = now
+        self.sent_at = now       # last Append with entries, or with none in flight, or last snapshot chunk
 
 
 class Core:
@@ -102,9 +102,9 @@
         self.config, self._config_index = log.config()
         self._durable = log.last_index        # last log index that is durable on this member
         self._durable_vote = (term, vote)
-        self._write = Write(0, term, vote)
-        self._dirty = False
-        self._write_in_flight = 0
+        self._write = Write(0, term, vote)    # accumulates changes for the next write
+        self._dirty = False                   # the next write has changes
+        self._write_in_flight = 0             # its number; 0: none
         self._last_write_number = 0
         self._send_after_write: list[tuple[str, Message]] = []   # sent once the next write is durable
         self._send_after_current_write: list[tuple[str, Message]] = []   # sent once the write in flight is durable
@@ -113,7 +113,7 @@
         self._leader_contact_at = now          # last message from a leader, or last vote granted
         self._votes: dict[str, bool] = {}
         self._peers: dict[str, _Peer] = {}
-        self._round = 0
+        self._round = 0                       # number of the last heartbeat round
         self._heartbeat_at = 0
         self._reads: list[tuple[Any, int, int]] = []    # caller, read index, heartbeat round
         self._early_reads: list[Any] = []          # received before an entry of this term is committed
@@ -185,20 +185,21 @@
         self.role, self.leader = FOLLOWER, leader
         self._transfer_target = ""
 
-    def _campaign(self, pre: bool, transfer: bool = False) -> None:
+    def _campaign(self, pre_vote: bool, transfer: bool = False) -> None:
         """Requests votes, or pre-votes first: a member that returns from a partition disrupts no leader."""
-        self.role, self.leader = (PRE_CANDIDATE if pre else CANDIDATE), ""
-        if not pre:
+        self.role, self.leader = (PRE_CANDIDATE if pre_vote else CANDIDATE), ""
+        if not pre_vote:
             self.term, self.vote = self.term + 1, self.name
             self._dirty = True
         self._votes = {self.name: True}
-        ask = Ask(self.term + 1 if pre else self.term, self.log.last_index, self.log.last_term, pre, transfer)
+        request = Ask(self.term + 1 if pre_vote else self.term, self.log.last_index, self.log.last_term,
+                      pre_vote, transfer)
         for name in self.config.voters:
             if name != self.name:
-                if pre:
-                    self._out.send.append((name, ask))
+                if pre_vote:
+                    self._out.send.append((name, request))
                 else:
-                    self._send_when_durable(name, ask)   # the vote for itself must be durable first
+                    self._send_when_durable(name, request)   # the vote for itself must be durable first
         self._count_votes()
 
     def _count_votes(self) -> None:
@@ -427,7 +428,7 @@
             else:
                 self._on_snapshot_progress(source, peer, message)
 
-    def _on_vote_request(self, source: str, ask: Ask) -> None:
+    def _on_vote_request(self, source: str, request: Ask) -> None:
         """Responds to a vote or pre-vote request.
 
         While this member has a current leader it grants a vote only if that leader transfers its leadership.
@@ -435,15 +436,15 @@
         has_leader = self._now - self._leader_contact_at < self._timers.election and bool(self.leader)
         if self.role == LEADER:
             has_leader = True
-        if ask.term < self.term or (has_leader and not ask.transfer):
-            self._out.send.append((source, Vote(self.term, False, ask.pre)))
+        if request.term < self.term or (has_leader and not request.transfer):
+            self._out.send.append((source, Vote(self.term, False, request.pre)))
             return
-        up_to_date = self._up_to_date(ask)
-        if ask.pre:
-            self._out.send.append((source, Vote(ask.term if up_to_date else self.term, up_to_date, True)))
+        up_to_date = self._up_to_date(request)
+        if request.pre:
+            self._out.send.append((source, Vote(request.term if up_to_date else self.term, up_to_date, True)))
             return
-        if ask.term > self.term:
-            self._become_follower(ask.term, "")
+        if request.term > self.term:
+            self._become_follower(request.term, "")
         granted = up_to_date and self.vote in ("", source) and self.role in (FOLLOWER, PRE_CANDIDATE)
         if granted:
             if self.vote != source:
@@ -452,8 +453,8 @@
             self._leader_contact_at = self._now
         self._send_when_durable(source, Vote(self.term, granted))
 
-    def _up_to_date(self, ask: Ask) -> bool:
-        return (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last_index)
+    def _up_to_date(self, request: Ask) -> bool:
+        return (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
 
     def _on_vote(self, source: str, vote: Vote) -> None:
         expected_term = self.term + 1 if vote.pre else self.term
--- a/moleworks/store/disk.py
+++ b/moleworks/store/disk.py
@@ -90,18 +90,20 @@
             raise CorruptStore(f"{self.path}: {error}") from None
 
     def _read_identity(self, cluster: str, member: str) -> Identity:
-        body = self._meta("identity")
+        body = self._get_meta("identity")
         if body is None:
             identity = Identity(cluster, member, secrets.token_hex(8), 1, life=secrets.token_hex(4))
         else:
-            old: Identity = msgspec.msgpack.decode(body, type=Identity)
-            if old.format > FORMAT:
-                raise CorruptStore(f"{self.path}: unsupported newer format version {old.format}")
-            if (old.cluster, old.member) != (cluster, member):
-                raise CorruptStore(f"{self.path}: belongs to {old.member} of {old.cluster}, not {member} of {cluster}")
-            identity = msgspec.structs.replace(old, boot=old.boot + 1, life=secrets.token_hex(4), before=old.life)
+            previous: Identity = msgspec.msgpack.decode(body, type=Identity)
+            if previous.format > FORMAT:
+                raise CorruptStore(f"{self.path}: unsupported newer format version {previous.format}")
+            if (previous.cluster, previous.member) != (cluster, member):
+                raise CorruptStore(f"{self.path}: belongs to {previous.member} of {previous.cluster}, "
+                                   f"not {member} of {cluster}")
+            identity = msgspec.structs.replace(previous, boot=previous.boot + 1, life=secrets.token_hex(4),
+                                               before=previous.life)
         with self._transaction():
-            self._put("identity", _ENCODE(identity))
+            self._put_meta("identity", _ENCODE(identity))
         return identity
 
     # ---- Rows -------------------------------------------------------------------------------------------
@@ -109,10 +111,10 @@
     def _transaction(self) -> _Transaction:
         return _Transaction(self._db)
 
-    def _put(self, name: str, body: bytes) -> None:
+    def _put_meta(self, name: str, body: bytes) -> None:
         self._db.execute("insert or replace into meta values (?, ?, ?)", (name, body, _checksum(name, body)))
 
-    def _meta(self, name: str) -> bytes | None:
+    def _get_meta(self, name: str) -> bytes | None:
         row = self._db.execute("select value, checksum from meta where name = ?", (name,)).fetchone()
         if row is None:
             return None
@@ -124,7 +126,7 @@
     def load(self, first: Config) -> tuple[Log, int, str]:
         """Reads log, term and vote; an empty disk has the initial configuration `first`.  Raises CorruptStore."""
         try:
-            vote = self._meta("vote")
+            vote = self._get_meta("vote")
             term, voted = (0, "") if vote is None else msgspec.structs.astuple(msgspec.msgpack.decode(vote, type=_Vote))
             snapshot = self._snapshot() or Snapshot(0, 0, first, b"")
             return Log(snapshot, list(self._entries(snapshot.index))), term, voted
@@ -132,11 +134,11 @@
             raise CorruptStore(f"{self.path}: {error}") from None
 
     def _snapshot(self) -> Snapshot | None:
-        body = self._meta("snapshot")
+        body = self._get_meta("snapshot")
         if body is None:
             return None
         head: _SnapshotHead = msgspec.msgpack.decode(body, type=_SnapshotHead)
-        pieces = [self._meta(f"snapshot {head.index} {number}") for number in range(head.pieces)]
+        pieces = [self._get_meta(f"snapshot {head.index} {number}") for number in range(head.pieces)]
         if None in pieces:
             raise CorruptStore(f"{self.path}: a piece of snapshot {head.index} is missing")
         return Snapshot(head.index, head.term, head.config, b"".join(piece for piece in pieces if piece is not None))
@@ -155,17 +157,17 @@
     def remember_member(self, member: str, hello: bytes) -> None:
         """Stores another member's last `Hello`, durable when this returns.  Raises sqlite3.Error."""
         with self._transaction():
-            self._put(f"met {member}", hello)
+            self._put_meta(f"met {member}", hello)
 
     def met_members(self) -> dict[str, bytes]:
         """The last `Hello` of each other member that has connected.  Raises CorruptStore."""
         rows = self._db.execute("select name from meta where name like 'met %'").fetchall()
-        return {name.removeprefix("met "): self._meta(name) or b"" for (name,) in rows}
+        return {name.removeprefix("met "): self._get_meta(name) or b"" for (name,) in rows}
 
     def sync(self, write: Write) -> None:
         """Applies a write atomically, durable when this returns.  Raises sqlite3.Error, as on a full disk."""
         with self._transaction():
-            self._put("vote", _ENCODE(_Vote(write.term, write.vote)))
+            self._put_meta("vote", _ENCODE(_Vote(write.term, write.vote)))
             if write.cut:
                 self._db.execute("delete from log where idx >= ?", (write.cut,))
             if write.snapshot is not None:
@@ -180,8 +182,8 @@
         pieces = [data[at:at + SNAPSHOT_ROW_BYTES] for at in range(0, len(data), SNAPSHOT_ROW_BYTES)]
         self._db.execute("delete from meta where name like 'snapshot %'")
         for number, piece in enumerate(pieces):
-            self._put(f"snapshot {snapshot.index} {number}", piece)
-        self._put("snapshot", _ENCODE(_SnapshotHead(snapshot.index, snapshot.term, snapshot.config, len(pieces))))
+            self._put_meta(f"snapshot {snapshot.index} {number}", piece)
+        self._put_meta("snapshot", _ENCODE(_SnapshotHead(snapshot.index, snapshot.term, snapshot.config, len(pieces))))
         self._db.execute("delete from log where idx <= ?", (snapshot.index,))
 
     def size(self) -> int:
--- a/moleworks/store/member.py
+++ b/moleworks/store/member.py
@@ -239,13 +239,13 @@
             if to not in self._peer_connections:
                 self._peer_connections[to] = _PeerConnection(self, to)
             self._peer_connections[to].put(ENCODE(Peer(message)))
-        for (client, number, _), result in done.answers:
+        for (client, call_id, _), result in done.answers:
             if isinstance(result, Result):
-                client.send(Answer(number, result))
+                client.send(Answer(call_id, result))
             else:
-                client.send(Answer(number, elsewhere=result, address=self._address_text(result.leader)))
-        for client, number, what in done.reads:
-            self._serve_read(client, number, what)
+                client.send(Answer(call_id, elsewhere=result, address=self._address_text(result.leader)))
+        for client, call_id, request in done.reads:
+            self._serve_read(client, call_id, request)
         if done.applied:
             self._notify_watches()
         core = self.replica.core
@@ -348,116 +348,116 @@
                 await client.writer.drain()
 
     def _handle_call(self, client: _Client, call: Call) -> None:
-        what, now = call.what, time.monotonic_ns()
-        caller = (client, call.id, what)
-        if isinstance(what, Get | List):
-            if what.stale:
-                self._serve_read(client, call.id, what)
+        request, now = call.what, time.monotonic_ns()
+        caller = (client, call.id, request)
+        if isinstance(request, Get | List):
+            if request.stale:
+                self._serve_read(client, call.id, request)
             else:
                 self.replica.read(now, caller)
-        elif isinstance(what, Watch | WatchDuty) and not self.replica.core.leader:
+        elif isinstance(request, Watch | WatchDuty) and not self.replica.core.leader:
             client.send(self._redirect(call.id))   # without a leader there are no new events
-        elif isinstance(what, Watch):
+        elif isinstance(request, Watch):
             if len(client.watches) >= 100:
                 client.send(Answer(call.id, error="too many watches on one connection"))
             else:
-                client.watches[call.id] = (what.prefix, what.after)
+                client.watches[call.id] = (request.prefix, request.after)
                 self._notify_watch(client, call.id)
-        elif isinstance(what, WatchDuty):
+        elif isinstance(request, WatchDuty):
             if len(client.duties) >= 100:
                 client.send(Answer(call.id, error="too many watches on one connection"))
             else:
-                client.duties[call.id] = (what.duty, -1, "")
+                client.duties[call.id] = (request.duty, -1, "")
                 self._notify_duty_watch(client, call.id)
-        elif isinstance(what, Image):
-            if what.image:
-                self._send_image_chunk(client, call.id, what)
+        elif isinstance(request, Image):
+            if request.image:
+                self._send_image_chunk(client, call.id, request)
             else:
                 self.replica.read(now, caller)
-        elif isinstance(what, Compact):
+        elif isinstance(request, Compact):
             self.replica.compact()
             client.send(Answer(call.id, Result(True, self.replica.state.revision)))
-        elif isinstance(what, Status):
+        elif isinstance(request, Status):
             client.send(Answer(call.id, status=self._status()))
-        elif isinstance(what, Members):
-            self._change_members(client, call.id, what)
-        elif isinstance(what, Transfer):
-            done = self.replica.core.transfer(now, what.to)
+        elif isinstance(request, Members):
+            self._change_members(client, call.id, request)
+        elif isinstance(request, Transfer):
+            done = self.replica.core.transfer(now, request.to)
             client.send(Answer(call.id, Result(True, 0)) if done else self._redirect(call.id))
         else:
-            self.replica.submit(now, caller, what)
+            self.replica.submit(now, caller, request)
         self._schedule_pump()
 
-    def _redirect(self, number: int) -> Answer:
+    def _redirect(self, call_id: int) -> Answer:
         leader = self.replica.core.leader
-        return Answer(number, elsewhere=Redirect(leader, False, leader == self.name),
+        return Answer(call_id, elsewhere=Redirect(leader, False, leader == self.name),
                       address=self._address_text(leader))
 
-    def _change_members(self, client: _Client, number: int, what: Members) -> None:
+    def _change_members(self, client: _Client, call_id: int, request: Members) -> None:
         """Adds or removes one member.  A new member's address is recorded first, so that every member can reach it."""
         core, now = self.replica.core, time.monotonic_ns()
         config = core.config
         if core.role != "leader":
-            client.send(self._redirect(number))
+            client.send(self._redirect(call_id))
             return
-        if what.add:
-            if config.has(what.add):
-                client.send(Answer(number, error=f"{what.add} is a member already"))
+        if request.add:
+            if config.has(request.add):
+                client.send(Answer(call_id, error=f"{request.add} is a member already"))
                 return
             client_name = f"_{self.name}-{self.hello.boot}-{now}"
             self.replica.submit(now, (_NullClient(), 0, None), Open(client_name))
             self.replica.submit(now, (_NullClient(), 0, None),
-                                Change(client_name, 1, (Put(ADDRESS_PREFIX + what.add, what.address.encode()),)))
-            wanted = Config(config.voters, (*config.learners, what.add))
+                                Change(client_name, 1, (Put(ADDRESS_PREFIX + request.add, request.address.encode()),)))
+            wanted = Config(config.voters, (*config.learners, request.add))
         else:
-            wanted = Config(tuple(name for name in config.voters if name != what.remove),
-                            tuple(name for name in config.learners if name != what.remove))
+            wanted = Config(tuple(name for name in config.voters if name != request.remove),
+                            tuple(name for name in config.learners if name != request.remove))
             if wanted == config or not wanted.voters:
-                client.send(Answer(number, error=f"{what.remove} can't be taken out"))
+                client.send(Answer(call_id, error=f"{request.remove} can't be taken out"))
                 return
         if self.replica.reconfigure(now, wanted):
-            client.send(Answer(number, Result(True, self.replica.state.revision)))
+            client.send(Answer(call_id, Result(True, self.replica.state.revision)))
         else:
-            client.send(self._redirect(number))
+            client.send(self._redirect(call_id))
 
-    def _send_image_chunk(self, client: _Client, number: int, what: Image) -> None:
+    def _send_image_chunk(self, client: _Client, call_id: int, request: Image) -> None:
         """Sends a chunk of a state image.  Only one image is kept at a time, as it may be large."""
         name, data, used = self._backup_image
         now = time.monotonic()
-        if not what.image:
+        if not request.image:
             if name and now - used < IMAGE_TIMEOUT_S:
-                client.send(Answer(number, error="another backup is under way: come again in 10 s"))
+                client.send(Answer(call_id, error="another backup is under way: come again in 10 s"))
                 return
             name, data = secrets.token_hex(8), self.replica.state.image()
-        elif what.image != name:
-            client.send(Answer(number, error="this backup is gone: begin again"))
+        elif request.image != name:
+            client.send(Answer(call_id, error="this backup is gone: begin again"))
             return
-        end = what.offset + IMAGE_CHUNK_BYTES
+        end = request.offset + IMAGE_CHUNK_BYTES
         self._backup_image = (name, data, now) if end < len(data) else ("", b"", 0.0)
-        client.send(Answer(number, data=data[what.offset:end], image=name, size=len(data),
+        client.send(Answer(call_id, data=data[request.offset:end], image=name, size=len(data),
                           revision=self.replica.state.revision))
 
-    def _serve_read(self, client: _Client, number: int, what: Get | List | Image) -> None:
-        if isinstance(what, Image):
-            self._send_image_chunk(client, number, what)
+    def _serve_read(self, client: _Client, call_id: int, request: Get | List | Image) -> None:
+        if isinstance(request, Image):
+            self._send_image_chunk(client, call_id, request)
             return
         state = self.replica.state
-        if isinstance(what, Get):
-            record = state.get(what.key)
-            found = [] if record is None else [(what.key, record)]
+        if isinstance(request, Get):
+            record = state.get(request.key)
+            found = [] if record is None else [(request.key, record)]
             grants = None
         else:
-            found = state.prefix(what.prefix, min(what.most, MAX_LIST_ROWS), what.after)
+            found = state.list_prefix(request.prefix, min(request.most, MAX_LIST_ROWS), request.after)
             grants = [_grant_row(duty, grant) for duty, grant in sorted(state.grants.items())]
-        client.send(Answer(number, rows=[Row(key, record.value, record.created, record.revision)
+        client.send(Answer(call_id, rows=[Row(key, record.value, record.created, record.revision)
                                         for key, record in found], grants=grants, revision=state.revision))
 
     def _notify_watches(self) -> None:
         for client in self._clients:
-            for number in list(client.watches):
-                self._notify_watch(client, number)
-            for number in client.duties:
-                self._notify_duty_watch(client, number)
+            for call_id in list(client.watches):
+                self._notify_watch(client, call_id)
+            for call_id in client.duties:
+                self._notify_duty_watch(client, call_id)
 
     async def _send_watch_heartbeats(self) -> None:
         """Sends heartbeats to watches while a leader is known; without them clients move to another member."""
@@ -465,49 +465,49 @@
             await asyncio.sleep(WATCH_HEARTBEAT_S)
             if self.replica.core.leader:
                 for client in self._clients:
-                    for number in list(client.watches):
-                        self._notify_watch(client, number)   # events held back while the client read slowly
-                        if number in client.watches and not client.is_backlogged():
-                            client.send(Answer(number, events=[], revision=client.watches[number][1]))
-                    for number in client.duties:
+                    for call_id in list(client.watches):
+                        self._notify_watch(client, call_id)   # events held back while the client read slowly
+                        if call_id in client.watches and not client.is_backlogged():
+                            client.send(Answer(call_id, events=[], revision=client.watches[call_id][1]))
+                    for call_id in client.duties:
                         if not client.is_backlogged():
-                            client.send(Answer(number))
+                            client.send(Answer(call_id))
 
-    def _notify_duty_watch(self, client: _Client, number: int) -> None:
+    def _notify_duty_watch(self, client: _Client, call_id: int) -> None:
         """Sends the duty's grant if token or successor have changed since the last time."""
-        duty, token, to = client.duties[number]
+        duty, token, to = client.duties[call_id]
         grant = self.replica.state.grants.get(duty)
         current = (grant.token, grant.to) if grant is not None else (0, "")
         if current != (token, to) and not client.is_backlogged():
-            client.duties[number] = (duty, *current)
-            client.send(Answer(number, grants=[] if grant is None else [_grant_row(duty, grant)],
+            client.duties[call_id] = (duty, *current)
+            client.send(Answer(call_id, grants=[] if grant is None else [_grant_row(duty, grant)],
                               revision=self.replica.state.revision))
 
-    def _notify_watch(self, client: _Client, number: int) -> None:
+    def _notify_watch(self, client: _Client, call_id: int) -> None:
         """Sends the events that the watch lacks; for a client that reads slowly they are held back."""
-        prefix, after = client.watches[number]
+        prefix, after = client.watches[call_id]
         state = self.replica.state
         if client.is_backlogged() or after == state.revision:
             return
         found = state.events(after, prefix)
         if found is None:
-            del client.watches[number]
-            client.send(Answer(number, compacted=True, revision=state.revision))
+            del client.watches[call_id]
+            client.send(Answer(call_id, compacted=True, revision=state.revision))
             return
         events: list[Event] = []
         size = 0
         for event in found:     # the events of one revision stay in one frame
             if size > WATCH_FRAME_BYTES and event.revision > events[-1].revision:
-                client.send(Answer(number, events=events, revision=events[-1].revision))
-                client.watches[number] = (prefix, events[-1].revision)
+                client.send(Answer(call_id, events=events, revision=events[-1].revision))
+                client.watches[call_id] = (prefix, events[-1].revision)
                 if client.is_backlogged():
                     return      # the rest follows once the client has read this
                 events, size = [], 0
             events.append(event)
             size += len(event.key) + len(event.value or b"") + 32
-        client.watches[number] = (prefix, state.revision)
+        client.watches[call_id] = (prefix, state.revision)
         if events:
-            client.send(Answer(number, events=events, revision=state.revision))
+            client.send(Answer(call_id, events=events, revision=state.revision))
 
     def _status(self) -> StatusRow:
         core = self.replica.core
--- a/moleworks/store/replica.py
+++ b/moleworks/store/replica.py
@@ -33,7 +33,7 @@
     busy: bool = False
 
 
-class Done(Struct):
+class PumpResult(Struct):
     """Actions that follow from the events so far: a write, messages and answers."""
 
     write: Write | None
@@ -101,7 +101,7 @@
                 core.reconfigure(now, Config((*core.config.voters, promoted),
                                              tuple(name for name in core.config.learners if name != promoted)))
 
-    def pump(self, now: int) -> Done:
+    def pump(self, now: int) -> PumpResult:
         """Returns all actions that follow from the events so far."""
         core = self.core
         out = core.take_output()
@@ -136,7 +136,7 @@
         if core.applied - core.log.snapshot.index >= self._compact_entries or self._log_bytes > COMPACT_BYTES:
             self.compact()
         answers, self._answers = self._answers, []
-        return Done(out.write, out.send, answers, ready, changed)
+        return PumpResult(out.write, out.send, answers, ready, changed)
 
     def compact(self) -> None:
         """Replaces all applied entries in the log with a snapshot of the state."""
--- a/moleworks/store/state.py
+++ b/moleworks/store/state.py
@@ -285,7 +285,7 @@
     def get(self, key: str) -> Record | None:
         return self.records.get(key)
 
-    def prefix(self, prefix: str, limit: int, after: str = "") -> list[tuple[str, Record]]:
+    def list_prefix(self, prefix: str, limit: int, after: str = "") -> list[tuple[str, Record]]:
         """At most `limit` records whose keys have this prefix and are greater than `after`, in key order."""
         if not limit:
             return []
@@ -310,11 +310,11 @@
         """Restores a serialized state; empty bytes are the empty state.  Raises msgspec.DecodeError."""
         state = cls()
         if image:
-            told = _IMAGE.decode(image)
-            state.revision, state.records = told.revision, told.records
-            state.grants, state.tokens = told.grants, told.tokens
-            state._sessions = OrderedDict(told.sessions)
-            state.compacted, state.floor = told.compacted, told.floor
+            decoded = _IMAGE.decode(image)
+            state.revision, state.records = decoded.revision, decoded.records
+            state.grants, state.tokens = decoded.grants, decoded.tokens
+            state._sessions = OrderedDict(decoded.sessions)
+            state.compacted, state.floor = decoded.compacted, decoded.floor
         return state
 
     def prepare_after_restore(self, step: int) -> None:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -43,8 +43,8 @@
         other.merge(Delta(1, "a", "a", 5, found[0], tuple(found[1]), found[2], found[3]))
     for values in (one, other):
         mine = {key: entry.value for key, entry in owner.owners["a"].entries.items() if entry.value is not None}
-        known = values.owners["a"].entries if "a" in values.owners else {}
-        assert {key: entry.value for key, entry in known.items() if entry.value is not None} == mine
+        merged = values.owners["a"].entries if "a" in values.owners else {}
+        assert {key: entry.value for key, entry in merged.items() if entry.value is not None} == mine
 
 
 def test_invalid_datagrams_are_rejected_and_limits_are_enforced() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -162,10 +162,10 @@
     assert done(machine, change).revision == 1 and machine.revision == 1
     refused = done(machine, Change("c", 2, (Put("a", b"3"),), (Condition("a", 1), Condition("z", 9))))
     assert (refused.done, refused.why) == (False, "condition") and machine.records["a"].value == b"1"
-    again = State.from_image(machine.image())
-    assert done(again, Change("c", 2, (Put("a", b"3"),))) == refused   # the snapshot contains the session
+    restored = State.from_image(machine.image())
+    assert done(restored, Change("c", 2, (Put("a", b"3"),))) == refused   # the snapshot contains the session
     assert not machine.apply(b"\xc1 no command")[1].done
-    assert next(iter(machine.events(0, "b") or ())).value == b"2" and again.events(0, "") is None
+    assert next(iter(machine.events(0, "b") or ())).value == b"2" and restored.events(0, "") is None
 
 
 def test_tokens_increase_and_an_older_one_is_rejected() -> None:
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -96,13 +96,13 @@
 
 
 def test_disks_are_identified_by_start_counts_and_start_identifiers() -> None:
-    known = Hello("a", "x", "disk", 5, "five", "four")
-    assert rejection_reason(None, known) == rejection_reason(known, known) == ""
-    assert rejection_reason(known, Hello("a", "y", "disk", 6, "six", "five")) == ""
-    assert rejection_reason(known, Hello("a", "x", "disk", 8, "eight", "seven")) == ""   # skipped starts
-    assert "another disk" in rejection_reason(known, Hello("a", "x", "new", 9, "nine", "eight"))
+    previous = Hello("a", "x", "disk", 5, "five", "four")
+    assert rejection_reason(None, previous) == rejection_reason(previous, previous) == ""
+    assert rejection_reason(previous, Hello("a", "y", "disk", 6, "six", "five")) == ""
+    assert rejection_reason(previous, Hello("a", "x", "disk", 8, "eight", "seven")) == ""   # skipped starts
+    assert "another disk" in rejection_reason(previous, Hello("a", "x", "new", 9, "nine", "eight"))
     for boot, life, before in ((4, "four", "three"), (5, "again", "four"), (6, "six", "again")):
-        assert "older" in rejection_reason(known, Hello("a", "x", "disk", boot, life, before))
+        assert "older" in rejection_reason(previous, Hello("a", "x", "disk", boot, life, before))
 
 
 def test_duty_commands_acquire_renew_watch_and_release(store: Store) -> None:
--- a/tests/test_store_real.py
+++ b/tests/test_store_real.py
@@ -212,13 +212,13 @@
                 await asyncio.sleep(0.02)
             with pytest.raises(Refused, match="already"):
                 await client.members(add="d", address="127.0.0.1:1")
-            gone = next(name for name in NAMES if name != leader)
-            await client.members(remove=gone)
-            while gone in (await client.status()).config.voters:
+            removed = next(name for name in NAMES if name != leader)
+            await client.members(remove=removed)
+            while removed in (await client.status()).config.voters:
                 await asyncio.sleep(0.02)
             async with store.client("d") as at_d:
                 assert len((await at_d.list("k")).rows or []) == 300
-        other = next(name for name in NAMES if name not in (leader, gone))
+        other = next(name for name in NAMES if name not in (leader, removed))
         store.kill(other)
         shutil.rmtree(store.folder / other)     # the same name with an empty disk, which lacks its votes
         process = store.start(other)
@@ -228,8 +228,8 @@
 
 
 def test_members_under_network_faults_keep_acknowledged_changes(tmp_path: Path) -> None:
-    told = members.play(StoreExperiment("Random", "members", 3, 2.5, drawn=4), tmp_path)
-    assert told["broken"] == [] and told["faults"] and told["figures"]["operations"] > 50
+    result = members.play(StoreExperiment("Random", "members", 3, 2.5, drawn=4), tmp_path)
+    assert result["broken"] == [] and result["faults"] and result["figures"]["operations"] > 50
 
 
 def test_a_disk_restored_to_an_earlier_state_is_rejected(store: Store) -> None:
