--- a/moleworks/gossip/core.py
+++ b/moleworks/gossip/core.py
@@ -44,7 +44,7 @@
     """Durations in ns unless noted."""
 
     probe: int = 1000 * MS       # probe interval
-    answer: int = 300 * MS       # time-out of a direct probe, after which indirect ones are sent
+    answer: int = 300 * MS       # timeout of a direct probe, after which indirect ones are sent
     suspect: int = 5             # probe intervals, times logarithm (10) of the fleet and health, to refute a suspicion
     ask: int = 200 * MS          # mean interval of digest requests
     helpers: int = 3             # members that probe indirectly
@@ -189,7 +189,7 @@
             self._current_probe = (probe[0], probe[1], probe[2], True)
             for helper in self._random_members(self.timers.helpers, probe[1]):
                 self._send(self.peers[helper].address, PingRequest(probe[0], self.name, probe[1],
-                                                                    self._take_rumors()))
+                                                                   self._take_rumors()))
         if now >= self._next_probe_at:
             self._next_probe_at = now + self.timers.probe * (1 + self.health)
             self._probe_round(now)
@@ -301,7 +301,7 @@
             record = values.owners.get(state.owner)
             version = record.version() if record is not None else (0, 0)
             if version[0] > state.life or (digest.source == state.owner and version > (state.life, state.count)):
-                continue      # from a new run that does not know of the known one, which says nothing about it
+                continue      # a new run that does not know the known life says nothing about it
             if version >= (state.life, state.count):
                 values.confirm(state.owner, state.life, state.count, at)
             elif len(values.owners) < MAX_MEMBERS:
--- a/moleworks/store/client.py
+++ b/moleworks/store/client.py
@@ -35,13 +35,13 @@
 from .state import Acquire, Change, Condition, Delete, Event, Guard, Open, Put, Renew, Result
 
 TRY_TIMEOUT_S = 1.0
-"""Time-out of one try, after which the call is retried on a random member."""
+"""Timeout of one try, after which the call is retried on a random member."""
 WATCH_TIMEOUT_S = 3.5
 """A watch without a frame for this long is reopened elsewhere: its member is partitioned, removed or down."""
 
 
 class Unavailable(Exception):
-    """No answer within the time-out.  A change may have been applied, or may still be."""
+    """No answer within the timeout.  A change may have been applied, or may still be."""
 
 
 class Refused(Exception):
--- a/moleworks/store/core.py
+++ b/moleworks/store/core.py
@@ -76,13 +76,13 @@
     def __init__(self, next_index: int, now: int) -> None:
         self.next = next_index
         self.match = 0
-        self.probing = True      # one Append at a time until the matching index is found
-        self.inflight = 0        # Append messages without a reply
+        self.probing = True         # one Append at a time until the matching index is found
+        self.inflight = 0           # Append messages without a reply
         self.last_response_at = now
-        self.round = 0           # last heartbeat round that the follower has acknowledged
+        self.round = 0              # last heartbeat round that the follower has acknowledged
         self.snapshot_offset = 0    # bytes of the snapshot that the follower has received
         self.snapshot_index = 0     # index of the snapshot in transfer
-        self.sent_at = now       # last Append with entries, or with none in flight, or last snapshot chunk
+        self.sent_at = now          # last Append with entries, or with none in flight, or last snapshot chunk
 
 
 class Core:
@@ -110,13 +110,13 @@
         self._send_after_current_write: list[tuple[str, Message]] = []   # sent once the write in flight is durable
         self._out = Output()
         self._now = now
-        self._leader_contact_at = now          # last message from a leader, or last vote granted
+        self._leader_contact_at = now         # last message from a leader, or last vote granted
         self._votes: dict[str, bool] = {}
         self._peers: dict[str, _Peer] = {}
         self._round = 0                       # number of the last heartbeat round
         self._heartbeat_at = 0
         self._reads: list[tuple[Any, int, int]] = []    # caller, read index, heartbeat round
-        self._early_reads: list[Any] = []          # received before an entry of this term is committed
+        self._early_reads: list[Any] = []     # received before an entry of this term is committed
         self._transfer_target = ""
         self._transfer_started_at = 0
         self._incoming_snapshot: tuple[int, int, bytearray] | None = None
--- a/moleworks/store/disk.py
+++ b/moleworks/store/disk.py
@@ -154,12 +154,12 @@
             yield _ENTRY.decode(body)
             expected += 1
 
-    def remember_member(self, member: str, hello: bytes) -> None:
+    def store_hello(self, member: str, hello: bytes) -> None:
         """Stores another member's last `Hello`, durable when this returns.  Raises sqlite3.Error."""
         with self._transaction():
             self._put_meta(f"met {member}", hello)
 
-    def met_members(self) -> dict[str, bytes]:
+    def load_hellos(self) -> dict[str, bytes]:
         """The last `Hello` of each other member that has connected.  Raises CorruptStore."""
         rows = self._db.execute("select name from meta where name like 'met %'").fetchall()
         return {name.removeprefix("met "): self._get_meta(name) or b"" for (name,) in rows}
--- a/moleworks/store/member.py
+++ b/moleworks/store/member.py
@@ -166,7 +166,7 @@
         self._peer_connections: dict[str, _PeerConnection] = {}
         try:
             self._last_hellos: dict[str, Hello] = {other: msgspec.msgpack.decode(hello, type=Hello)
-                                                  for other, hello in self.disk.met_members().items()}
+                                                   for other, hello in self.disk.load_hellos().items()}
         except (sqlite3.Error, msgspec.DecodeError) as error:
             raise CorruptStore(f"{self.disk.path}: {error}") from None
         self._backup_image: tuple[str, bytes, float] = ("", b"", 0.0)
@@ -322,7 +322,7 @@
                 raise wire.WireError(f"more than {identity.MAX_REMEMBERED_MEMBERS} members have connected")
             self._last_hellos[hello.member] = hello
             try:   # durable before its first message: must survive a restart of all members
-                await self._loop.run_in_executor(self._disk_thread, self.disk.remember_member, hello.member,
+                await self._loop.run_in_executor(self._disk_thread, self.disk.store_hello, hello.member,
                                                  ENCODE(hello))
             except sqlite3.Error as error:
                 self.stop(f"{self.disk.path}: {error}")
@@ -435,7 +435,7 @@
         end = request.offset + IMAGE_CHUNK_BYTES
         self._backup_image = (name, data, now) if end < len(data) else ("", b"", 0.0)
         client.send(Answer(call_id, data=data[request.offset:end], image=name, size=len(data),
-                          revision=self.replica.state.revision))
+                           revision=self.replica.state.revision))
 
     def _serve_read(self, client: _Client, call_id: int, request: Get | List | Image) -> None:
         if isinstance(request, Image):
@@ -450,7 +450,7 @@
             found = state.list_prefix(request.prefix, min(request.most, MAX_LIST_ROWS), request.after)
             grants = [_grant_row(duty, grant) for duty, grant in sorted(state.grants.items())]
         client.send(Answer(call_id, rows=[Row(key, record.value, record.created, record.revision)
-                                        for key, record in found], grants=grants, revision=state.revision))
+                                          for key, record in found], grants=grants, revision=state.revision))
 
     def _notify_watches(self) -> None:
         for client in self._clients:
@@ -481,7 +481,7 @@
         if current != (token, to) and not client.is_backlogged():
             client.duties[call_id] = (duty, *current)
             client.send(Answer(call_id, grants=[] if grant is None else [_grant_row(duty, grant)],
-                              revision=self.replica.state.revision))
+                               revision=self.replica.state.revision))
 
     def _notify_watch(self, client: _Client, call_id: int) -> None:
         """Sends the events that the watch lacks; for a client that reads slowly they are held back."""
