--- a/gateway/attempt.py
+++ b/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a host: what is sent, by when, and who hears what came of it."""
+"""One attempt at a host: its message, deadlines and the receivers of its result."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Response(NamedTuple):
-    """A whole answer of a host."""
+    """A complete response of a host."""
 
     status: int
     headers: list[Header]
@@ -25,68 +25,69 @@
 
 
 class Receiver(Protocol):
-    """Who takes a long answer, piece by piece."""
+    """Receives a streamed response in parts."""
 
-    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
-        """It begins; `length` is None where only its end tells.  False: nobody wants it any more."""
+    def begin_response(self, attempt: Attempt, response: Response, length: int | None) -> bool:
+        """The response begins; `length` is None if it is unknown.  Returns False if it is no longer wanted."""
 
     def write_body(self, attempt: Attempt, data: bytes) -> None:
-        """Some more of its body; `attempt.pause` holds the next back."""
+        """Handle a part of the body; `attempt.pause` pauses reading."""
 
 
 class Attempt:
     """One attempt at one host, or a probe.
 
-    `on_end` is called once, with the answer if it was served whole.  A long answer goes to `receiver` first.
+    `on_end` is called once, with the response if a complete one was received.  A streamed response goes to `receiver`.
     """
 
-    __slots__ = ("begin_by", "begun", "body", "checked", "conn", "done", "expires_at", "held_before", "host", "load",
-                 "number", "on_end", "payload", "probe", "receiver", "started", "unwanted")
+    __slots__ = ("begin_by", "body", "checked_at", "client_left", "connection", "done", "expires_at", "host",
+                 "load_report", "number", "on_end", "payload", "probe", "receiver", "response_started_at",
+                 "stall_before_ns", "started_at")
 
-    def __init__(self, host: HostId, number: int, payload: tuple[bytes, bytes], started: int, expires_at: int,
+    def __init__(self, host: HostId, number: int, payload: tuple[bytes, bytes], started_at: int, expires_at: int,
                  on_end: Callable[[Attempt, Outcome, Response | None], None], probe: bool = False,
                  receiver: Receiver | None = None, body: Body | None = None, begin_by: int = NO_DEADLINE_NS,
-                 unwanted: Callable[[], bool] = lambda: False) -> None:
+                 client_left: Callable[[], bool] = lambda: False) -> None:
         self.host = host
-        self.unwanted = unwanted   # whether its client has left, asked before it is written
-        self.held_before = 0       # how long the loop had stood still before it
-        self.begin_by = begin_by   # its last byte is written by then, or never
+        self.client_left = client_left   # whether its client has left; called before it is written
+        self.stall_before_ns = 0   # total time of event-loop stalls before it
+        self.begin_by = begin_by   # if its last byte is not written by then, it is stopped
         self.probe = probe
         self.receiver = receiver
-        self.body = body     # where it is still coming
-        self.begun = 0       # when the first of a long answer was passed on
+        self.body = body   # set if it is streamed
+        self.response_started_at = 0   # when its streamed response began
         self.number = number
-        self.payload = payload   # the head without its last lines, and the body
-        self.started = started
-        self.checked = started   # when it was last asked whether it may go out
+        self.payload = payload   # the head without its timeout header and empty line, and the body
+        self.started_at = started_at
+        self.checked_at = started_at   # last check whether it may be sent
         self.expires_at = expires_at
         self.on_end = on_end
-        self.conn: Connection | None = None
+        self.connection: Connection | None = None
         self.done = False
-        self.load = b""   # the load report that came with the answer, as it was worded
+        self.load_report = b""   # the load report in its response, unparsed
 
     def message(self, now: int) -> bytes:
-        """What goes on the wire; the host is told how long the gateway will wait from now."""
+        """The bytes to send; the timeout header has the time that the gateway waits from `now` on."""
         head, body = self.payload
         return b"%bX-Timeout-Ms: %d\r\n\r\n%b" % (head, max(1, (self.expires_at - now) // MS), body)
 
-    def pause(self, wanted: bool) -> None:
-        """Read no more of the answer for now, or again."""
-        if self.conn is not None:
-            self.conn.pause(wanted)
+    def pause(self, paused: bool) -> None:
+        """Pause or resume reading the response."""
+        if self.connection is not None:
+            self.connection.pause(paused)
 
     def connected(self) -> bool:
-        """Whether it has a connection that is up."""
-        return self.conn is not None and self.conn.transport is not None
+        """Whether its connection has been established."""
+        return self.connection is not None and self.connection.transport is not None
 
     def written(self) -> bool:
-        """Whether the request's last byte is on the socket."""
-        return self.conn is not None and self.conn.written()
+        """Whether the request's last byte has been written to the socket."""
+        return self.connection is not None and self.connection.written()
 
-    def end(self, outcome: Outcome, answer: Response | None = None) -> None:
+    def end(self, outcome: Outcome, response: Response | None = None) -> None:
         """Report the outcome, once."""
         if not self.done:
             self.done = True
-            self.conn = None
-            self.payload = (b"", b"")   # timers refer to it until they ring: bodies must not pile up
-            self.on_end(self, outcome, answer)
+            self.connection = None
+            self.payload = (b"", b"")   # timers refer to the attempt until they fire: free the body
+            self.on_end(self, outcome, response)
--- a/gateway/body.py
+++ b/gateway/body.py
@@ -1,4 +1,4 @@
-"""The body of a long request on its way from a client to a host."""
+"""Streaming of a request body from a client to a host."""
 
 from __future__ import annotations
 
@@ -6,79 +6,84 @@
 from typing import Protocol
 
 MAX_REPLAY_BYTES = 64 * 1024
-"""So much of a body is held to be sent again; bytes.  Shorter ones are never streamed."""
+"""Size of the start of a body that is kept so that it can be sent again.  Shorter bodies are never streamed."""
 
 
-PIECE = 64 * 1024
-"""Most that is read in one call, bytes."""
-LEAST = 8 * 1024
-"""And where many streams share the room."""
-HOLDS = 4
-"""Pieces that a stream holds at most: one that is read, one to be written, and their copies on the way."""
+READ_BUFFER_BYTES = 64 * 1024
+"""Most bytes that are read in one call."""
+MIN_READ_BYTES = 8 * 1024
+"""Lower bound of the bytes read in one call when many streams share the budget."""
+BUFFERS_PER_STREAM = 4
+"""Most read buffers that one stream uses: one being read, one to be written, and a copy of each in transit."""
 
 
 class StreamBudget:
-    """What long messages on their way may hold together, in bytes."""
+    """The memory that all streamed messages may use together."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.streams = 0
 
     def read_bytes(self) -> int:
-        """Most that a stream may read in one call: the more there are, the less."""
-        return max(LEAST, min(PIECE, self.max_bytes // (HOLDS * max(1, self.streams))))
+        """Most bytes that a stream may read in one call; decreases with the number of streams."""
+        return max(MIN_READ_BYTES,
+                   min(READ_BUFFER_BYTES, self.max_bytes // (BUFFERS_PER_STREAM * max(1, self.streams))))
 
     @property
     def full(self) -> bool:
-        """Whether there is no room for one more long body, nor for its start, which is held."""
-        return (MAX_REPLAY_BYTES + HOLDS * LEAST) * (self.streams + 1) > self.max_bytes
+        """Whether the budget does not allow one more streamed body, including its replay buffer."""
+        return (MAX_REPLAY_BYTES + BUFFERS_PER_STREAM * MIN_READ_BYTES) * (self.streams + 1) > self.max_bytes
 
 
 class Sink(Protocol):
-    """Where a body goes: a connection to a host."""
+    """Destination of a body: a connection to a host."""
 
     def write_body(self, data: bytes) -> None:
-        """Some more of the body."""
+        """Send a part of the body."""
 
     def finish_body(self) -> None:
-        """The body is whole."""
+        """The body is complete."""
 
     @property
     def write_blocked(self) -> bool:
-        """Whether the host does not take what it is given."""
+        """Whether the host's socket takes no more data."""
 
 
-def _nothing() -> None:
-    """Nobody is to be told."""
+def _no_op() -> None:
+    """A callback that does nothing."""
 
 
 class Body:
-    """Holds the start until more has come than is kept: from then on it is bound to one attempt."""
+    """A streamed body.
 
-    def __init__(self, length: int | None, start: bytes, steer: Callable[[], None]) -> None:
-        self.length = length          # None: told by chunks
-        self.replay_buffer = bytearray(start)  # all that has come, as long as it may be sent again
+    Its start is kept for a retry until more than `MAX_REPLAY_BYTES` have arrived; from then on it is committed to one
+    attempt.
+    """
+
+    def __init__(self, length: int | None, start: bytes, update_reading: Callable[[], None]) -> None:
+        self.length = length   # None: chunked
+        self.replay_buffer = bytearray(start)   # all data so far, until committed
         self.committed = False
         self.complete = False
-        self.over = False             # nobody wants it any more: what still comes is thrown away
-        self.on_committed: Callable[[], None] = _nothing
+        self.dropped = False   # further data is discarded
+        self.on_committed: Callable[[], None] = _no_op
         self._sink: Sink | None = None
-        self._steer = steer           # the client may be read again, or no longer
+        self._update_reading = update_reading   # called when reading from the client may pause or resume
 
     @property
     def full(self) -> bool:
-        """Whether no more is wanted now."""
-        if self.over:
+        """Whether reading from the client must pause."""
+        if self.dropped:
             return False
         return self._sink.write_blocked if self._sink is not None else len(self.replay_buffer) >= MAX_REPLAY_BYTES
 
     def feed(self, data: bytes) -> None:
-        """Some more has come."""
-        if self.over:
+        """Handle a part of the body."""
+        if self.dropped:
             return
         sink = self._sink
         if self.committed and sink is None:
-            return   # its attempt has just ended: so will the request
+            return   # its attempt has just ended, and the request is about to
         if sink is None or (not self.committed and len(self.replay_buffer) + len(data) <= MAX_REPLAY_BYTES):
             self.replay_buffer += data
         elif not self.committed:
@@ -89,13 +94,13 @@
             sink.write_body(data)
 
     def finish(self) -> None:
-        """It has come whole."""
+        """The last byte has arrived."""
         self.complete = True
-        if self._sink is not None and not self.over:
+        if self._sink is not None and not self.dropped:
             self._sink.finish_body()
 
     def attach(self, sink: Sink) -> bytes:
-        """An attempt begins; returns what it has to send first."""
+        """An attempt begins; returns the data that it must send first."""
         self._sink = sink
         return bytes(self.replay_buffer)
 
@@ -103,17 +108,17 @@
         """An attempt has ended."""
         if self._sink is sink:
             self._sink = None
-            self._steer()
+            self._update_reading()
 
-    def steer(self) -> None:
-        """The host takes more again, or no longer."""
-        self._steer()
+    def update_reading(self) -> None:
+        """The host's socket takes data again, or no longer."""
+        self._update_reading()
 
     def drop(self) -> None:
-        """The request is over."""
-        if not self.over:
-            self.over = True
-            self.on_committed = _nothing
+        """The request has ended: discard the body."""
+        if not self.dropped:
+            self.dropped = True
+            self.on_committed = _no_op
             self.replay_buffer.clear()
             self._sink = None
-            self._steer()
+            self._update_reading()
--- a/gateway/checks.py
+++ b/gateway/checks.py
@@ -1,4 +1,4 @@
-"""What a request must be, after the settings, and what of it goes on to hosts."""
+"""Validates requests against the settings and builds the message that is sent to hosts."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from .body import Body
 from .upstream import HOP_BY_HOP
 
-MAX_ID = 200
+MAX_ID_BYTES = 200
 
 
 class BadRequest(Exception):
-    """A request that is answered with an error; `status` says which."""
+    """An invalid request; `status` and `why` are the status and body of its response."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -22,22 +22,22 @@
         self.why = why
 
 
-class Checked:
-    """A request that has passed the checks: the `ParsedRequest` of core.py."""
+class ValidatedRequest:
+    """A request that has passed the checks; implements `ParsedRequest` of core.py."""
 
-    __slots__ = ("body", "cls", "hint_ns", "id", "key", "name", "payload", "repeat", "tenant", "ttl_ns",
+    __slots__ = ("body", "class_name", "cls", "hint_ns", "id", "key", "payload", "repeat", "tenant", "ttl_ns",
                  "unread_since", "write")
 
     def __init__(self, cls: int, tenant: int, ttl_ns: int, payload: tuple[bytes, bytes],
                  headers: dict[bytes, bytes], body: Body | None) -> None:
-        self.body = body   # a long one, which is still coming
+        self.body = body   # set if it is streamed
         self.unread_since = 0
         self.cls = cls
         self.tenant = tenant
         self.ttl_ns = ttl_ns
         self.payload = payload
         self.id = headers[b"x-request-id"]
-        self.name = headers[b"x-priority-class"]
+        self.class_name = headers[b"x-priority-class"]
         self.key = _key(headers.get(b"x-route-key", b""))
         self.hint_ns = _number(headers.get(b"x-cost", b"")) * 1000
         self.repeat = headers.get(b"x-retried") == b"1"
@@ -45,7 +45,7 @@
 
 
 def _key(text: bytes) -> int:
-    """What the request is about, as a number; 0 for none."""
+    """The route key as a number; 0 for none."""
     if not text:
         return 0
     try:
@@ -55,75 +55,75 @@
 
 
 def _number(text: bytes) -> int:
-    """A whole number of at most nine figures; 0 for anything else."""
+    """Parses a decimal number of at most nine digits; 0 for anything else."""
     return int(text) if text.isdigit() and len(text) <= 9 else 0
 
 
-class Checks:
-    """What a request must be, after the settings."""
+class RequestValidator:
+    """Validates requests against the settings."""
 
     def __init__(self, settings: Settings) -> None:
         self._classes = {item.name.encode(): index for index, item in enumerate(settings.classes)}
         self._effects = [item.effect for item in settings.classes]
-        self._longest = [item.deadline_ns for item in settings.classes]
+        self._max_deadlines_ns = [item.deadline_ns for item in settings.classes]
         self._tenants = {item.name.encode(): index for index, item in enumerate(settings.tenants)}
 
-    def check(self, method: bytes, target: bytes, headers: list[Header], body: bytes,
-              coming: Body | None = None) -> Checked:
-        """Raises BadRequest for what is missing, unknown or contradictory."""
-        first = target.split(b"?", 1)[0].split(b"/", 2)
-        if len(first) < 2 or first[0] or first[1] not in self._classes:
+    def validate(self, method: bytes, target: bytes, headers: list[Header], body: bytes,
+                 streamed_body: Body | None = None) -> ValidatedRequest:
+        """Raises BadRequest if a required field is missing, unknown or contradictory."""
+        path = target.split(b"?", 1)[0].split(b"/", 2)
+        if len(path) < 2 or path[0] or path[1] not in self._classes:
             raise BadRequest(404, "no such path")
-        known: dict[bytes, bytes] = {}
+        values: dict[bytes, bytes] = {}
         for name, value in headers:
             lower = name.lower()
-            if lower in _CHECKED and known.setdefault(lower, value) != value:
+            if lower in _CHECKED_HEADERS and values.setdefault(lower, value) != value:
                 raise BadRequest(400, f"two values of {lower.decode()}")
-        if known.get(b"x-priority-class") != first[1]:
+        if values.get(b"x-priority-class") != path[1]:
             raise BadRequest(400, "the class is missing or is not that of the path")
-        cls = self._classes[first[1]]
-        self._check_method(method, self._effects[cls], known, body)
-        rid = known.get(b"x-request-id", b"")
-        if not 0 < len(rid) <= MAX_ID or not rid.isascii():
+        cls = self._classes[path[1]]
+        self._check_method(method, self._effects[cls], values, body)
+        request_id = values.get(b"x-request-id", b"")
+        if not 0 < len(request_id) <= MAX_ID_BYTES or not request_id.isascii():
             raise BadRequest(400, "no usable id")
-        tenant = self._tenants.get(known.get(b"x-tenant-id", b""), -1 if self._tenants else 0)
+        tenant = self._tenants.get(values.get(b"x-tenant-id", b""), -1 if self._tenants else 0)
         if tenant < 0:
             raise BadRequest(400, "the tenant is missing or unknown")
-        millis = _number(known.get(b"x-timeout-ms", b""))
-        if not millis:
+        timeout_ms = _number(values.get(b"x-timeout-ms", b""))
+        if not timeout_ms:
             raise BadRequest(400, "no usable time-out")
-        return Checked(cls, tenant, min(millis * MS, self._longest[cls]),
-                       _payload(method, target, headers, body, coming), known, coming)
+        return ValidatedRequest(cls, tenant, min(timeout_ms * MS, self._max_deadlines_ns[cls]),
+                                _payload(method, target, headers, body, streamed_body), values, streamed_body)
 
     @staticmethod
-    def _check_method(method: bytes, effect: Effect, known: dict[bytes, bytes], body: bytes) -> None:
-        key = known.get(b"idempotency-key")
-        right = (method == b"GET" and not body and key is None if effect is Effect.SAFE
+    def _check_method(method: bytes, effect: Effect, values: dict[bytes, bytes], body: bytes) -> None:
+        key = values.get(b"idempotency-key")
+        valid = (method == b"GET" and not body and key is None if effect is Effect.SAFE
                  else method == b"POST" and (bool(key) if effect is Effect.KEYED else key is None))
-        if not right:
+        if not valid:
             raise BadRequest(400, "the method, body or key is not that of the class")
 
 
-_CHECKED = frozenset((b"x-request-id", b"x-priority-class", b"x-tenant-id", b"x-timeout-ms",
-                      b"idempotency-key", b"x-route-key", b"x-retried", b"x-cost", b"x-attrs", b"host"))
+_CHECKED_HEADERS = frozenset((b"x-request-id", b"x-priority-class", b"x-tenant-id", b"x-timeout-ms",
+                              b"idempotency-key", b"x-route-key", b"x-retried", b"x-cost", b"x-attrs", b"host"))
 
 
 def _payload(method: bytes, target: bytes, headers: list[Header], body: bytes,
-             coming: Body | None) -> tuple[bytes, bytes]:
-    """The message to hosts, but for its time-out: end-to-end headers go on as they came."""
+             streamed_body: Body | None) -> tuple[bytes, bytes]:
+    """The message to hosts without its timeout header; end-to-end headers are forwarded unchanged."""
     dropped = set(HOP_BY_HOP)
     for name, value in headers:
         if name.lower() == b"connection":
             dropped.update(token.strip().lower() for token in value.split(b","))
-    dropped -= _CHECKED
+    dropped -= _CHECKED_HEADERS
     dropped.add(b"x-timeout-ms")
     lines = [b"%b %b HTTP/1.1\r\n" % (method, target)]
     lines += [b"%b: %b\r\n" % item for item in headers if item[0].lower() not in dropped]
     if not any(name.lower() == b"host" for name, _ in headers):
         lines.append(b"Host: gateway\r\n")
-    if coming is not None:   # the body follows by itself
-        lines.append(b"Transfer-Encoding: chunked\r\n" if coming.length is None
-                     else b"Content-Length: %d\r\n" % coming.length)
+    if streamed_body is not None:   # the body is sent separately
+        lines.append(b"Transfer-Encoding: chunked\r\n" if streamed_body.length is None
+                     else b"Content-Length: %d\r\n" % streamed_body.length)
         return b"".join(lines), b""
     if method != b"GET":
         lines.append(b"Content-Length: %d\r\n" % len(body))
--- a/gateway/core.py
+++ b/gateway/core.py
@@ -1,7 +1,7 @@
-"""Drives the `Balancer`: the request table, the clock and the actions.  It takes no decision.
+"""Drives the decision module: request table, clock and actions.  It takes no decisions itself.
 
-Actions are called from inside an event.  They act on sockets at once, and what that causes waits in a queue
-until the event is over: the module is never called from within itself.
+The module calls actions while it handles an event.  Actions operate on sockets immediately; events that result from
+them are queued until the current event has been handled, so that the module is never re-entered.
 """
 
 from __future__ import annotations
@@ -28,84 +28,87 @@
 
 log = logging.getLogger("gateway.core")
 
-MARGIN = 6 * MS
-"""The module is told so much less time than the client has: the answer has a way to go.
+RESPONSE_MARGIN_NS = 6 * MS
+"""Time reserved for sending the response: subtracted from the client's timeout before the module sees it.
 
-An answer is on the wire in less than a millisecond; much more would take half the time of clients that wait
-for some tens of milliseconds only.
+A response is written in less than a millisecond; a much larger margin would take half the timeout of clients that
+wait only some tens of milliseconds.
 """
-LAST_CALL = 3 * MS
-"""So long before the client's time is up, the gateway answers by itself if the module has not."""
-LEAVING = 50 * MS
-"""So long after its client has ended its sending a request may still reach a host.
+FALLBACK_MARGIN_NS = 3 * MS
+"""The gateway sends an error response this long before the client's timeout if the module has not decided."""
+HALF_CLOSED_CONNECT_NS = 50 * MS
+"""Time after the client's end of sending (half-close) within which a pending attempt may still connect to its host.
 
-An attempt that begins 0.1 s after its client has gone breaks a rule; server.py may take `UNREAD` to see it.
+No attempt may begin later than 0.1 s after its client has left; server.py may need `UNREAD_POLL_INTERVAL_NS` to detect that.
 """
-LEAST_LEFT = 2 * MARGIN
-"""A request that has less time left when it is read is turned away unsent."""
-MAX_OPEN = 1024
-"""Requests held at once; with bodies of 64 KiB at most this bounds their memory."""
+MIN_TIME_LEFT_NS = 2 * RESPONSE_MARGIN_NS
+"""A request with less time left when it is read is refused without an attempt."""
+MAX_OPEN_REQUESTS = 1024
+"""Maximum number of open requests; with at most 64 KiB of buffered body each, this bounds their memory."""
 
 
 DecisionsFactory = Callable[[Settings, int, Actions], Decisions]
-PROBE_TIME = 1000 * MS
-"""A probe that has no answer by then has timed out; the settings name no time for it."""
+PROBE_TIMEOUT_NS = 1000 * MS
+"""Timeout of a probe; the settings have none."""
 
 
 class LoadReportParser:
-    """Load reports, by the names of the settings' columns or by the plain ones."""
+    """Parses load reports, whose fields have the names of the settings' columns or the default names."""
 
-    def __init__(self, columns: Sequence[str], plain: Sequence[str]) -> None:
-        self.columns = list(zip(columns, plain, strict=False))
+    def __init__(self, columns: Sequence[str], default_names: Sequence[str]) -> None:
+        self.columns = list(zip(columns, default_names, strict=False))
 
-    def read(self, text: bytes) -> tuple[float, ...]:
-        """The figures in the order of the columns; none where the report can't be read."""
+    def parse(self, text: bytes) -> tuple[float, ...]:
+        """Returns the values in the order of the columns, or an empty tuple for a malformed report."""
         if not self.columns or not text:
             return ()
         try:
             report = json.loads(text)
-            figures = tuple(float(report[name] if name in report else report[plain])
-                            for name, plain in self.columns)
+            values = tuple(float(report[name] if name in report else report[default_name])
+                           for name, default_name in self.columns)
         except (ValueError, KeyError, TypeError, RecursionError):
             return ()
-        return () if any(map(isnan, figures)) else figures
+        return () if any(map(isnan, values)) else values
 
 
 class Exchange(Protocol):
-    """The client's side of a request: one answer, by one of these calls or by `begin_response` and what follows."""
+    """The client's side of a request.
 
-    def served(self, answer: Response) -> None:
-        """Pass on a host's answer."""
+    It gets one response: by one of `served`, `failed` and `refused`, or streamed from `begin_response` on.
+    """
+
+    def served(self, response: Response) -> None:
+        """Send a host's complete response to the client."""
 
     def failed(self) -> None:
-        """Answer failed: no promise about the effect."""
+        """Respond that the request failed; it may or may not have had an effect."""
 
     def refused(self, retry_after_ns: int) -> None:
-        """Answer refused: trying again is harmless."""
+        """Respond that the request was refused; it had no effect, so a retry is safe."""
 
     def client_half_closed(self) -> bool:
-        """Whether the client has ended its sending, asked of the kernel."""
+        """Whether the client has shut down its sending side, according to the kernel."""
 
-    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> None:
-        """A host's long answer begins; what is committed is no longer taken back."""
+    def begin_response(self, attempt: Attempt, response: Response, length: int | None) -> None:
+        """Begin a streamed response; from here on the client can't get another one."""
 
     def write_body(self, data: bytes) -> None:
-        """Some more of it."""
+        """Send a part of the streamed response's body."""
 
     def finish(self) -> None:
-        """It has come whole."""
+        """Complete the streamed response."""
 
     def abort(self) -> None:
-        """It will not come whole, and the client must be able to tell."""
+        """Abort the streamed response in a way that the client can detect."""
 
 
 class ParsedRequest(Protocol):
-    """What the client's side has read of a request."""
+    """A client's request as parsed and checked."""
 
     body: Body | None
 
     id: bytes
-    unread_since: int   # its bytes may have come this early; 0: they came when they were read
+    unread_since: int   # earliest time at which its bytes may have arrived; 0: when they were read
     cls: int
     tenant: int
     key: int
@@ -117,33 +120,33 @@
 
 
 class Request:
-    """A request that is held; it stays in the table until its attempts have ended too."""
+    """An open request; it stays in the table until its attempts have ended too."""
 
-    __slots__ = ("attempts", "body", "client_half_closed", "deadline", "exchange", "in_flight", "last_call", "most",
-                 "name", "payload", "rid", "streamed", "ttl")
+    __slots__ = ("attempts", "body", "client_half_closed", "client_id", "deadline", "exchange", "fallback_at",
+                 "in_flight", "max_attempts", "payload", "rid", "streamed", "ttl")
 
-    def __init__(self, rid: int, name: bytes, exchange: Exchange, payload: tuple[bytes, bytes], deadline: int,
-                 most: int) -> None:
+    def __init__(self, rid: int, client_id: bytes, exchange: Exchange, payload: tuple[bytes, bytes], deadline: int,
+                 max_attempts: int) -> None:
         self.rid = rid
-        self.name = name   # the client's id of it, for the log
-        self.most = most   # attempts: the limit it came under
-        self.exchange: Exchange | None = exchange   # None once the answer is given or the client has gone
+        self.client_id = client_id   # the client's request id, for the log
+        self.max_attempts = max_attempts   # the limit that was in effect when it arrived
+        self.exchange: Exchange | None = exchange   # None once it is answered or the client has gone
         self.payload = payload
         self.deadline = deadline
         self.attempts = 0
         self.in_flight: dict[int, Attempt] = {}
-        self.client_half_closed = False   # the client has ended its sending: it may have gone
-        self.body: Body | None = None   # a long one
-        self.streamed = False           # a long answer has begun
+        self.client_half_closed = False   # it may have gone
+        self.body: Body | None = None   # set if it is streamed
+        self.streamed = False   # a streamed response has begun
         self.ttl = 0
-        self.last_call = 0
+        self.fallback_at = 0
 
 
 Event = tuple[Callable[..., None], Request | None, tuple[Any, ...]]
 
 
 class _Receiver:
-    """Takes the long answer of an attempt to its request: the `Receiver` of upstream.py."""
+    """Forwards an attempt's streamed response to its request; implements `Receiver` of attempt.py."""
 
     __slots__ = ("_core", "_request")
 
@@ -151,83 +154,86 @@
         self._core = core
         self._request = request
 
-    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> bool:
-        """It begins."""
-        return self._core.begin(self._request, attempt, answer, length)
+    def begin_response(self, attempt: Attempt, response: Response, length: int | None) -> bool:
+        """See `Receiver`."""
+        return self._core.begin_response(self._request, attempt, response, length)
 
     def write_body(self, attempt: Attempt, data: bytes) -> None:
-        """Some more of its body."""
+        """See `Receiver`."""
         if self._request.exchange is not None:
             self._request.exchange.write_body(data)
 
 
 class Core:
-    """One gateway: the `Actions` of api.py on real sockets.
+    """The core of one gateway; implements `Actions` of api.py on real sockets.
 
-    Long messages are streamed: the module hears `on_body_streaming` and `on_body_complete` of requests,
-    `on_response_started` of answers.
+    Long messages are streamed: the module is notified by `on_body_streaming` and `on_body_complete` for requests and by
+    `on_response_started` for responses.
     """
 
     def __init__(self, settings: Settings, salt: int, timers: Timers, columns: Sequence[str] = (),
-                 make: DecisionsFactory = Balancer) -> None:
+                 make_module: DecisionsFactory = Balancer) -> None:
         self._timers = timers
         self._events: deque[Event] = deque()
-        self._lists: deque[Event] = deque()   # handled before anything else
-        self._may_send = True   # as the module was last told: the list may be followed
-        self._busy = False
+        self._list_events: deque[Event] = deque()   # handled before `_events`
+        self._may_send = True   # whether the list's lease is valid, as last reported to the module
+        self._handling = False
         self._now = 0
-        self._rid = 0
+        self._last_rid = 0
         self._requests: dict[int, Request] = {}
-        self._take(settings, columns)
+        self._apply_settings(settings, columns)
         self.peers: PeerSocket | None = None
         self.stall_detector: StallDetector | None = None
         self.upstream: Upstream
         self.discovery: Discovery
         self.has_hosts = False
-        self._module = make(settings, salt, self)
+        self._module = make_module(settings, salt, self)
 
-    def _take(self, settings: Settings, columns: Sequence[str]) -> None:
+    def _apply_settings(self, settings: Settings, columns: Sequence[str]) -> None:
         self._settings = settings
-        self._max_open = min(MAX_OPEN, settings.limits.max_open_requests or MAX_OPEN)
+        self._max_open_requests = min(MAX_OPEN_REQUESTS, settings.limits.max_open_requests or MAX_OPEN_REQUESTS)
         self.load_parser = LoadReportParser(columns, settings.report_fields)
 
     def attach(self, upstream: Upstream, discovery: Discovery) -> None:
-        """The sockets that the actions act on."""
+        """Set the host connections and the discovery client that the actions use."""
         self.upstream = upstream
         self.discovery = discovery
 
     # ---- Events ------------------------------------------------------------------------------------
 
-    def _event(self, call: Callable[..., None], request: Request | None, *fields: Any) -> None:
-        """Queue an event and, unless one is being handled, handle all in the order they came."""
+    def _queue_event(self, call: Callable[..., None], request: Request | None, *fields: Any) -> None:
+        """Queue an event and, unless one is being handled, handle all queued events in order."""
         self._events.append((call, request, fields))
-        self._handle()
+        self._handle_events()
 
-    def _handle(self) -> None:
-        """What discovery has written is read before each event, and lists go before all that waits."""
-        if self._busy:
+    def _handle_events(self) -> None:
+        """Handle queued events.
+
+        Before each event, data from discovery is read, and list updates overtake all other queued events.
+        """
+        if self._handling:
             return
-        self._busy = True
+        self._handling = True
         try:
-            while self._events or self._lists:
+            while self._events or self._list_events:
                 self._now = now_ns()
                 if self.stall_detector is not None:
                     self.stall_detector.observe(self._now)
-                self._catch_up()
-                if not self._lists:
-                    self._follow_lease()
-                call, request, fields = (self._lists or self._events).popleft()
+                self._read_discovery()
+                if not self._list_events:
+                    self._report_lease()
+                call, request, fields = (self._list_events or self._events).popleft()
                 try:
                     call(self._now, *fields)
                 except Exception:
-                    log.exception("the module has failed in %s", getattr(call, "__name__", call))
+                    log.exception("decision module raised an exception in %s", getattr(call, "__name__", call))
                     if request is not None:
-                        self._give_up(request)
+                        self._fail_request(request)
         finally:
-            self._busy = False
+            self._handling = False
 
-    def _follow_lease(self) -> None:
-        """The module hears whether the list may be followed, ahead of any event on which it might send."""
+    def _report_lease(self) -> None:
+        """Notify the module of a change of the lease, before any event on which it might send."""
         may_send = self.discovery.may_send(self._now)
         if may_send is self._may_send:
             return
@@ -236,348 +242,354 @@
         try:
             self._module.on_lease(self._now, may_send)
         except Exception:
-            log.exception("the module has failed in on_lease")
+            log.exception("decision module raised an exception in on_lease")
 
     def on_lease(self) -> None:
-        """The list may be followed again: what waits for that goes out."""
+        """The lease is valid again: have the module send requests that wait for it."""
         if not self._may_send:
-            self._event(lambda now: None, None)
+            self._queue_event(lambda now: None, None)
 
-    def _catch_up(self) -> None:
+    def _read_discovery(self) -> None:
         try:
             self.discovery.read_pending(self._now)
-        except Exception:   # guards against losing the event that waits behind it
-            log.exception("discovery could not be read")
+        except Exception:   # the queued event must still be handled
+            log.exception("reading updates from discovery failed")
 
     def on_settings(self, settings: Settings, columns: Sequence[str]) -> None:
-        """New settings; open requests keep those they came under."""
-        self._take(settings, columns)
-        self._event(self._module.on_settings, None, settings)
+        """Apply new settings; open requests keep the settings under which they arrived."""
+        self._apply_settings(settings, columns)
+        self._queue_event(self._module.on_settings, None, settings)
 
     def on_list(self, kind: ListKind, listed: list[ListedHost]) -> None:
-        """Discovery has spoken; the sockets follow the list before anything more is sent."""
+        """Handle a list from discovery; host connections are updated before anything more is sent."""
         if kind is not ListKind.FAILED:
             self.upstream.apply(kind is not ListKind.DELTA, listed)
             self.has_hosts = self.has_hosts or bool(listed)
-        self._lists.append((self._module.on_list, None, (kind, [item.entry for item in listed])))
-        self._handle()
+        self._list_events.append((self._module.on_list, None, (kind, [item.entry for item in listed])))
+        self._handle_events()
         self.on_lease()
 
-    def on_request(self, exchange: Exchange, asked: ParsedRequest) -> Request | None:
-        """Take in a client's request; None if there is no room and it has been refused unsent."""
-        if len(self._requests) >= self._max_open:
-            event(log, "refused", request=asked.id, why="too many are open")
+    def on_request(self, exchange: Exchange, parsed: ParsedRequest) -> Request | None:
+        """Accept a client's request; None if it has been refused without an attempt."""
+        if len(self._requests) >= self._max_open_requests:
+            event(log, "refused", request=parsed.id, why="too many open requests")
             exchange.refused(0)
             return None
         now = now_ns()
-        accepted = now - asked.unread_since - READ_DELAY_TOLERANCE_NS if asked.unread_since else 0
-        left = asked.ttl_ns - max(self._waited(now), accepted)
-        if left < LEAST_LEFT:
-            event(log, "refused", request=asked.id, why="its time ran out while the loop was held up")
+        unread_ns = now - parsed.unread_since - READ_DELAY_TOLERANCE_NS if parsed.unread_since else 0
+        time_left = parsed.ttl_ns - max(self._read_delay_ns(now), unread_ns)
+        if time_left < MIN_TIME_LEFT_NS:
+            event(log, "refused", request=parsed.id, why="deadline passed while the event loop was stalled")
             exchange.refused(0)
             return None
-        self._rid = rid = (self._rid + 1) & 0xFFFFFFFF
-        ttl = max(left - MARGIN, left // 2)
-        request = Request(rid, asked.id, exchange, asked.payload, now + ttl, self._settings.limits.max_attempts)
+        self._last_rid = rid = (self._last_rid + 1) & 0xFFFFFFFF
+        ttl = max(time_left - RESPONSE_MARGIN_NS, time_left // 2)
+        request = Request(rid, parsed.id, exchange, parsed.payload, now + ttl, self._settings.limits.max_attempts)
         self._requests[rid] = request
-        request.ttl = left
-        request.body = asked.body
+        request.ttl = time_left
+        request.body = parsed.body
         if request.body is not None:
-            request.body.on_committed = lambda: self._bound(request)
-        self._call_last(request, now)
-        self._event(self._tell_request, request, request, asked)
+            request.body.on_committed = lambda: self._on_body_committed(request)
+        self._schedule_fallback(request, now)
+        self._queue_event(self._start_request, request, request, parsed)
         return request
 
-    def _tell_request(self, now: int, request: Request, asked: ParsedRequest) -> None:
-        """The module hears what is left at its own `now`: the process may have been stopped since the deadline was
-        fixed.
+    def _start_request(self, now: int, request: Request, parsed: ParsedRequest) -> None:
+        """Pass the request to the module with the time left at the module's `now`.
+
+        The process may have been stopped since the deadline was computed.
         """
-        left = min(request.deadline - now, request.ttl)
-        if left > 0:
-            self._module.on_request(now, request.rid, asked.cls, asked.tenant, asked.key, left, asked.hint_ns,
-                                    asked.repeat, asked.write)
+        time_left = min(request.deadline - now, request.ttl)
+        if time_left > 0:
+            self._module.on_request(now, request.rid, parsed.cls, parsed.tenant, parsed.key, time_left, parsed.hint_ns,
+                                    parsed.repeat, parsed.write)
         elif request.exchange is not None:
-            event(log, "refused", request=request.name, why="its time ran out before it was decided on")
+            event(log, "refused", request=request.client_id, why="deadline passed before a decision")
             exchange, request.exchange = request.exchange, None
             exchange.refused(0)
-            self._finish(request)
+            self._end_request(request)
 
-    def _waited(self, now: int) -> int:
-        """How long bytes that are read now may have lain unread: the client's time ran meanwhile."""
+    def _read_delay_ns(self, now: int) -> int:
+        """How long bytes that are read now may have waited unread, which counts against the client's timeout."""
         return self.stall_detector.read_delay_ns(now) if self.stall_detector is not None else 0
 
-    def _call_last(self, request: Request, now: int) -> None:
-        request.last_call = now + max(request.ttl - LAST_CALL, request.ttl * 3 // 4)
-        self._timers.at(request.last_call, self._last_call, request)
+    def _schedule_fallback(self, request: Request, now: int) -> None:
+        request.fallback_at = now + max(request.ttl - FALLBACK_MARGIN_NS, request.ttl * 3 // 4)
+        self._timers.at(request.fallback_at, self._send_fallback, request)
 
-    def _bound(self, request: Request) -> None:
-        """Part of a long body is held no longer: no second attempt, and no deadline while it is sent."""
-        request.deadline = request.last_call = NO_DEADLINE_NS
+    def _on_body_committed(self, request: Request) -> None:
+        """The start of a streamed body has been discarded: no retry, and no deadline until the body is complete."""
+        request.deadline = request.fallback_at = NO_DEADLINE_NS
         for attempt in request.in_flight.values():
             attempt.expires_at = NO_DEADLINE_NS
-            self._event(self._module.on_body_streaming, request, request.rid, attempt.number)
+            self._queue_event(self._module.on_body_streaming, request, request.rid, attempt.number)
 
     def on_body_complete(self, request: Request) -> None:
-        """The last byte of a long body has come: the client's time begins."""
+        """The last byte of a streamed body has arrived: the client's timeout starts."""
         if request.exchange is None or request.streamed:
             return
         now = now_ns()
-        request.ttl = max(LEAST_LEFT, request.ttl - self._waited(now))
-        ttl = max(request.ttl - MARGIN, request.ttl // 2)
+        request.ttl = max(MIN_TIME_LEFT_NS, request.ttl - self._read_delay_ns(now))
+        ttl = max(request.ttl - RESPONSE_MARGIN_NS, request.ttl // 2)
         request.deadline = now + ttl
-        self._call_last(request, now)
+        self._schedule_fallback(request, now)
         for attempt in request.in_flight.values():
             attempt.expires_at = request.deadline
             self._timers.at(attempt.expires_at, self._expire, attempt)
-        self._event(self._tell_whole, request, request)
+        self._queue_event(self._notify_body_complete, request, request)
 
-    def _tell_whole(self, now: int, request: Request) -> None:
-        """As `_tell_request`."""
+    def _notify_body_complete(self, now: int, request: Request) -> None:
+        """Notify the module that a body is complete; for the time left see `_start_request`."""
         self._module.on_body_complete(now, request.rid, max(1, min(request.deadline - now, request.ttl)))
 
-    def begin(self, request: Request, attempt: Attempt, answer: Response, length: int | None) -> bool:
-        """A long answer begins: it is the one, whatever else is out; nothing of it is cut any more."""
+    def begin_response(self, request: Request, attempt: Attempt, response: Response, length: int | None) -> bool:
+        """Begin a streamed response: other attempts are cancelled, and it no longer has a deadline."""
         if request.exchange is None or request.streamed:
             self.upstream.cancel(attempt)
             return False
         request.streamed = True
-        request.deadline = request.last_call = attempt.expires_at = NO_DEADLINE_NS
+        request.deadline = request.fallback_at = attempt.expires_at = NO_DEADLINE_NS
         for other in [other for other in request.in_flight.values() if other is not attempt]:
             self.upstream.cancel(other)
-        request.exchange.begin_response(attempt, answer, length)
-        self._event(self._module.on_response_started, request, request.rid, attempt.number)
+        request.exchange.begin_response(attempt, response, length)
+        self._queue_event(self._module.on_response_started, request, request.rid, attempt.number)
         return not attempt.done
 
     def members_unavailable(self) -> int:
-        """Listed hosts that the module avoids now."""
+        """Number of listed hosts that the module currently avoids."""
         return self._module.members_unavailable(now_ns())
 
-    def on_gone(self, request: Request) -> None:
-        """The client has gone: its attempts are cancelled and nothing more is sent."""
+    def on_client_disconnected(self, request: Request) -> None:
+        """The client has gone: cancel the request's attempts and send nothing more for it."""
         if request.exchange is not None:
             request.exchange = None
-            self._event(self._module.on_client_disconnected, request, request.rid)
-            self._finish(request)
+            self._queue_event(self._module.on_client_disconnected, request, request.rid)
+            self._end_request(request)
 
-    def on_half_closed(self, request: Request) -> None:
-        """The client has ended its sending.
+    def on_client_half_closed(self, request: Request) -> None:
+        """The client has shut down its sending side.
 
-        It may have gone or may wait for its answer, which looks the same from here.  So it gets the answer of
-        what is out, and nothing new is sent for it.
+        It may have gone or may still wait for its response; the two can't be told apart.  So attempts in flight may
+        still answer it, and no new attempt is made.
         """
         request.client_half_closed = True
         if not request.in_flight and not request.streamed:
-            self._give_up(request)
-        elif self._suspect():   # it may have left long ago
-            self._unreached(request)
+            self._fail_request(request)
+        elif self._may_be_delayed():   # it may have left much earlier
+            self._cancel_unconnected(request)
         elif not all(attempt.connected() for attempt in request.in_flight.values()):
-            self._timers.after(LEAVING, self._unreached, request)
+            self._timers.after(HALF_CLOSED_CONNECT_NS, self._cancel_unconnected, request)
 
-    def accepted(self) -> int:
-        """From when on a connection that is accepted now may have waited; 0: it has not."""
+    def accept_delayed_since(self) -> int:
+        """Since when a connection that is accepted now may have been waiting; 0: it has not."""
         return self.stall_detector.accept_delayed_since(now_ns()) if self.stall_detector is not None else 0
 
-    def _suspect(self) -> bool:
-        """Whether what the loop reads now may have waited."""
+    def _may_be_delayed(self) -> bool:
+        """Whether data that the event loop reads now may have been waiting."""
         return self.stall_detector is not None and self.stall_detector.may_be_delayed(now_ns())
 
-    def _may_have_left(self, request: Request) -> bool:
-        """Whether its client may have left long ago: after a hold-up its end may still lie unread."""
+    def _client_may_have_left(self, request: Request) -> bool:
+        """Whether its client may have left: after an event-loop stall, its end of stream may still be unread."""
         if request.exchange is None:
             return True
-        if self._suspect() and request.exchange.client_half_closed():
+        if self._may_be_delayed() and request.exchange.client_half_closed():
             request.client_half_closed = True
             return True
         return False
 
-    def _unreached(self, request: Request) -> None:
-        """Guards against connections that come up late for a client that has gone by then."""
+    def _cancel_unconnected(self, request: Request) -> None:
+        """Cancel attempts that are still connecting, as their client may be gone by the time they connect."""
         for attempt in list(request.in_flight.values()):
             if not attempt.connected():
                 self.upstream.cancel(attempt)
 
     def open_requests(self) -> list[Request]:
-        """Requests in the table: those owed an answer, and those with attempts still out."""
+        """Requests in the table: those without a response yet, and those with attempts still in flight."""
         return list(self._requests.values())
 
     def max_time_left(self, now: int) -> int:
-        """The longest time that a request which is held has left."""
-        return max((request.last_call - now for request in self._requests.values()
-                    if request.exchange is not None and request.last_call < NO_DEADLINE_NS), default=0)
+        """The longest time that any unanswered request has left, ns."""
+        return max((request.fallback_at - now for request in self._requests.values()
+                    if request.exchange is not None and request.fallback_at < NO_DEADLINE_NS), default=0)
 
     def fail_all(self) -> None:
-        """The program must end now: what is still held is answered rather than lost."""
+        """The process is about to exit: answer all open requests with an error."""
         for request in self.open_requests():
-            self._give_up(request)
+            self._fail_request(request)
+
+    def _send_fallback(self, request: Request) -> None:
+        """Fail a request that the module has not decided on shortly before the client's timeout."""
+        if request.exchange is not None and now_ns() >= request.fallback_at:
+            log.error("decision module did not answer request %s before its deadline",
+                      request.client_id.decode("ascii", "backslashreplace"))
+            self._fail_request(request)
 
-    def _last_call(self, request: Request) -> None:
-        """Guards against a module that is late: the client's time is nearly up."""
-        if request.exchange is not None and now_ns() >= request.last_call:
-            log.error("request %s has had no answer in its time", request.name.decode("ascii", "backslashreplace"))
-            self._give_up(request)
+    def _fail_request(self, request: Request) -> None:
+        """Fail the request without a decision of the module, and have the module drop it.
 
-    def _give_up(self, request: Request) -> None:
-        """Answer failed in the module's place, which can't vouch for a refusal, and have it forget."""
+        It is not refused, since a refusal would promise that it had no effect.
+        """
         exchange, request.exchange = request.exchange, None
         if exchange is not None:
-            event(log, "failed", request=request.name, why="its time is up, its client ends or the program does")
+            event(log, "failed", request=request.client_id, why="deadline reached, client closing or process exiting")
             exchange.abort() if request.streamed else exchange.failed()
-            self._event(self._module.on_client_disconnected, None, request.rid)
-        self._finish(request)
+            self._queue_event(self._module.on_client_disconnected, None, request.rid)
+        self._end_request(request)
 
-    def _finish(self, request: Request) -> None:
-        """After the answer nothing more goes out: what is still out is cancelled."""
+    def _end_request(self, request: Request) -> None:
+        """Clean up after the response: cancel attempts that are still in flight."""
         if request.body is not None:
             request.body.drop()
         for attempt in list(request.in_flight.values()):
             self.upstream.cancel(attempt)
-        self._forget(request)
+        self._remove_if_ended(request)
 
-    def _forget(self, request: Request) -> None:
+    def _remove_if_ended(self, request: Request) -> None:
         if request.exchange is None and not request.in_flight:
-            self._event(self._drop, None, request)   # after this event, which may still name it
+            self._queue_event(self._remove, None, request)   # after this event, which may still refer to it
 
-    def _drop(self, _now: int, request: Request) -> None:
+    def _remove(self, _now: int, request: Request) -> None:
         if not request.in_flight:
             self._requests.pop(request.rid, None)
-            request.payload = (b"", b"")   # timers refer to it until they ring: bodies must not pile up
+            request.payload = (b"", b"")   # timers refer to the request until they fire: free the body
 
-    def _ended(self, request: Request, attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
-        """An attempt has ended.  The first that is served answers its client on its own."""
+    def _on_attempt_end(self, request: Request, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+        """Handle the end of an attempt.  The first successful one answers the client without the module."""
         request.in_flight.pop(attempt.number, None)
         if request.exchange is not None:
             if request.streamed:
-                if attempt.begun:
+                if attempt.response_started_at:
                     exchange, request.exchange = request.exchange, None
                     exchange.finish() if outcome is Outcome.OK else exchange.abort()
-            elif answer is not None:
+            elif response is not None:
                 exchange, request.exchange = request.exchange, None
-                exchange.served(answer)
+                exchange.served(response)
             elif request.client_half_closed and not request.in_flight:
                 exchange, request.exchange = request.exchange, None
                 exchange.failed()
-        settled = request.exchange is None
-        load = self.load_parser.read(attempt.load) if attempt.load else ()
-        spent = max(1, (attempt.begun or now_ns()) - attempt.started - (self._held_ns() - attempt.held_before))
+        request_ended = request.exchange is None
+        load = self.load_parser.parse(attempt.load_report) if attempt.load_report else ()
+        spent = max(1, (attempt.response_started_at or now_ns()) - attempt.started_at
+                    - (self._total_stall_ns() - attempt.stall_before_ns))
         if outcome is not Outcome.OK:
-            event(log, "attempt_ended", request=request.name, attempt=attempt.number, host=attempt.host,
+            event(log, "attempt_ended", request=request.client_id, attempt=attempt.number, host=attempt.host,
                   outcome=outcome.name, spent_ns=spent)
-        self._event(self._module.on_outcome, request, request.rid, attempt.number, attempt.host, outcome,
-                    spent, settled, load)
-        if settled:
-            self._finish(request)
+        self._queue_event(self._module.on_outcome, request, request.rid, attempt.number, attempt.host, outcome,
+                          spent, request_ended, load)
+        if request_ended:
+            self._end_request(request)
 
-    def _held_ns(self) -> int:
-        """How long the loop has stood still in all: that time is not held against hosts."""
+    def _total_stall_ns(self) -> int:
+        """Total time of event-loop stalls, ns; stalls during an attempt don't count as the host's latency."""
         return self.stall_detector.total_ns if self.stall_detector is not None else 0
 
     # ---- Actions -----------------------------------------------------------------------------------
 
     def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
-        """Start an attempt."""
+        """Start an attempt (see `Actions`)."""
         request = self._requests.get(rid)
         if request is None:
-            log.error("a send for request %d, which is not held", rid)
+            log.error("decision module sent unknown request %d", rid)
             return
         number = request.attempts
         request.attempts += 1
-        due = min(self._now + timeout_ns, request.deadline) if timeout_ns else request.deadline
-        attempt = Attempt(host, number, request.payload, self._now, due,
-                          lambda attempt, outcome, answer: self._ended(request, attempt, outcome, answer),
+        expires_at = min(self._now + timeout_ns, request.deadline) if timeout_ns else request.deadline
+        attempt = Attempt(host, number, request.payload, self._now, expires_at,
+                          lambda attempt, outcome, response: self._on_attempt_end(request, attempt, outcome, response),
                           receiver=_Receiver(self, request), body=request.body,
                           begin_by=self._now + write_within_ns if write_within_ns else NO_DEADLINE_NS,
-                          unwanted=lambda: self._may_have_left(request))
-        attempt.held_before = self._held_ns()
+                          client_left=lambda: self._client_may_have_left(request))
+        attempt.stall_before_ns = self._total_stall_ns()
         request.in_flight[number] = attempt
         if number:
-            event(log, "retry", request=request.name, attempt=number, host=host, timeout_ns=due - self._now)
-        if self._may_have_left(request) or request.client_half_closed or number >= request.most \
+            event(log, "retry", request=request.client_id, attempt=number, host=host, timeout_ns=expires_at - self._now)
+        if self._client_may_have_left(request) or request.client_half_closed or number >= request.max_attempts \
                 or (request.body is not None and request.body.committed):
-            attempt.end(Outcome.MOOT)   # never after the answer, nor for a client that may have gone
+            attempt.end(Outcome.MOOT)   # never after the response, nor for a client that may have gone
             return
         if not self._may_send:
-            attempt.end(Outcome.MOOT)   # the module has been told; nothing goes out by a list that is too old
+            attempt.end(Outcome.MOOT)   # the lease has expired, as the module knows: the list is too old
             return
-        self._timers.at(due, self._expire, attempt)
+        self._timers.at(expires_at, self._expire, attempt)
         self.upstream.start(attempt)
 
     def _expire(self, attempt: Attempt) -> None:
-        if not attempt.done and now_ns() >= attempt.expires_at:   # it may have been put off meanwhile
+        if not attempt.done and now_ns() >= attempt.expires_at:   # it may have been extended meanwhile
             self.upstream.expire(attempt)
 
     def fail(self, rid: int) -> None:
-        """Final answer: failed."""
+        """Final response: failed."""
         request = self._requests.get(rid)
         if request is not None and request.exchange is not None and not request.streamed:
-            event(log, "failed", request=request.name, attempts=request.attempts, why="decided")
+            event(log, "failed", request=request.client_id, attempts=request.attempts, why="decided")
             exchange, request.exchange = request.exchange, None
             exchange.failed()
-            self._finish(request)
+            self._end_request(request)
 
     def refuse(self, rid: int, retry_after_ns: int) -> None:
-        """Final answer: refused, with advice where the module gives one."""
+        """Final response: refused, with a Retry-After header if `retry_after_ns` is not 0."""
         request = self._requests.get(rid)
         if request is not None and request.exchange is not None and not request.streamed:
-            event(log, "refused", request=request.name, attempts=request.attempts, why="decided")
+            event(log, "refused", request=request.client_id, attempts=request.attempts, why="decided")
             exchange, request.exchange = request.exchange, None
             exchange.refused(retry_after_ns)
-            self._finish(request)
+            self._end_request(request)
 
     def cancel(self, rid: int, attempt: int) -> None:
-        """Stop waiting for an attempt."""
+        """Cancel an attempt unless its streamed response has begun."""
         request = self._requests.get(rid)
-        out = request.in_flight.get(attempt) if request is not None else None
-        if out is not None and not out.begun:
-            self.upstream.cancel(out)
+        target = request.in_flight.get(attempt) if request is not None else None
+        if target is not None and not target.response_started_at:
+            self.upstream.cancel(target)
 
     def wake(self, token: int, after_ns: int) -> None:
-        """A timer of the module."""
-        self._timers.at(self._now + after_ns, self._rung, token)
+        """Set a timer of the module."""
+        self._timers.at(self._now + after_ns, self._on_timer, token)
 
-    def _rung(self, token: int) -> None:
-        self._event(self._module.on_timer, None, token)
+    def _on_timer(self, token: int) -> None:
+        self._queue_event(self._module.on_timer, None, token)
 
     def watch(self, active: bool) -> None:
-        """Subscribe to discovery, or no longer."""
+        """Start or stop watching discovery."""
         self.discovery.watch(active)
 
     def fetch(self) -> None:
-        """Ask for the whole list."""
+        """Request the full list from discovery."""
         self.discovery.fetch()
 
     def probe(self, host: HostId) -> None:
-        """Check a host, where the settings allow it."""
+        """Send a probe to a host if the settings allow probes."""
         if not self._settings.limits.probes:
-            log.error("a probe that is not allowed")
+            log.error("decision module asked for a probe, but the settings don't allow probes")
             return
         path = b"/stats" if self.load_parser.columns else b"/health/live"
         attempt = Attempt(host, 0, (b"GET %b HTTP/1.1\r\nHost: host\r\n" % path, b""), self._now,
-                          self._now + PROBE_TIME, self._probed, probe=True)
+                          self._now + PROBE_TIMEOUT_NS, self._on_probe_end, probe=True)
         self._timers.at(attempt.expires_at, self._expire, attempt)
         self.upstream.start(attempt)
 
-    def _probed(self, attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
-        load = self.load_parser.read(answer.body) if outcome is Outcome.OK and answer is not None else ()
-        self._event(self._module.on_probe_result, None, attempt.host, outcome, max(1, now_ns() - attempt.started),
-                    load)
+    def _on_probe_end(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+        load = self.load_parser.parse(response.body) if outcome is Outcome.OK and response is not None else ()
+        self._queue_event(self._module.on_probe_result, None, attempt.host, outcome,
+                          max(1, now_ns() - attempt.started_at), load)
 
     def close(self, host: HostId) -> None:
         """Close the idle connections to a host."""
         self.upstream.close_idle(host)
 
     def send_peer_message(self, peer: int | None, content: bytes) -> None:
-        """A datagram to one peer or to all, where the settings allow it."""
+        """Send a datagram to one peer, or to all if `peer` is None, if the settings allow it."""
         if not self._settings.limits.peers or self.peers is None:
-            log.error("a message that is not allowed")
+            log.error("decision module sent a message to a peer, but the settings don't allow it")
         else:
             self.peers.send(peer, content)
 
     def on_peer(self, peer: int, content: bytes) -> None:
-        """A peer has sent a message."""
-        self._event(self._module.on_peer_message, None, peer, content)
+        """Handle a message from a peer."""
+        self._queue_event(self._module.on_peer_message, None, peer, content)
 
     def log(self, text: str) -> None:
-        """The module's word for whoever is on call."""
+        """Log a message of the decision module for the operators."""
         log.info("module: %s", text)
 
 
--- a/gateway/exchange.py
+++ b/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""A request's place in the order of answers on its client's connection, and the wording of its one answer."""
+"""Responses to clients: one per request, written in the order of the requests on a connection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .attempt import Attempt, Header, Response
 from .core import Request
 from .timers import now_ns
-from .upstream import HOP_BY_HOP, LOAD
+from .upstream import HOP_BY_HOP, LOAD_HEADER
 
 if TYPE_CHECKING:
     from .server import ClientConnection
@@ -23,112 +23,112 @@
 
 
 class Exchange:
-    """A request's place in the order of answers on its connection: the `Exchange` of core.py."""
+    """One request and its response on a client connection; implements `Exchange` of core.py."""
 
-    __slots__ = ("begun", "chunked", "close", "cls", "conn", "done", "id", "old", "parts", "request", "since",
-                 "source")
+    __slots__ = ("chunked", "class_name", "close", "connection", "created_at", "done", "id", "is_http_1_0",
+                 "request", "source", "started", "unsent_parts")
 
-    def __init__(self, conn: ClientConnection, close: bool, old: bool = False) -> None:
-        self.conn = conn
+    def __init__(self, connection: ClientConnection, close: bool, is_http_1_0: bool = False) -> None:
+        self.connection = connection
         self.close = close
-        self.old = old           # HTTP/1.0: knows no chunks
-        self.begun = False       # an answer is worded, at least its head
-        self.done = False        # and whole
-        self.parts: list[bytes] = []   # what has not left: answers before it come first
+        self.is_http_1_0 = is_http_1_0   # HTTP/1.0: no chunked encoding
+        self.started = False   # the head of the response has been generated
+        self.done = False   # the response is complete
+        self.unsent_parts: list[bytes] = []   # not yet written, as earlier responses go first
         self.chunked = False
-        self.source: Attempt | None = None   # where a long answer comes from
+        self.source: Attempt | None = None   # the attempt that streams the response
         self.request: Request | None = None
         self.id = b""
-        self.since = now_ns()
-        self.cls = ""   # named once the request has passed the checks: only then does it count
+        self.created_at = now_ns()
+        self.class_name = ""   # empty until the request has passed the checks; only then is it counted
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Word the answer; it leaves as soon as those before it have left."""
-        if self.begun:   # guards against a second answer, whatever goes wrong elsewhere
-            log.error("a second answer to one request")
+        """Generate a complete response; it is written once all earlier responses have been written."""
+        if self.started:   # never send two responses to one request, whatever goes wrong elsewhere
+            log.error("second response to one request; dropped")
             return
-        self._head(status, headers, b"Content-Length: %d\r\n" % len(body))
-        self.parts.append(body)
-        self._end()
-
-    def _head(self, status: int, headers: list[Header], framing: bytes) -> None:
-        self.begun = True
-        self.close = self.close or (self.conn.server.draining and self.conn.last(self))
-        self.conn.answering(self)
+        self._begin(status, headers, b"Content-Length: %d\r\n" % len(body))
+        self.unsent_parts.append(body)
+        self._end_response()
+
+    def _begin(self, status: int, headers: list[Header], framing: bytes) -> None:
+        self.started = True
+        self.close = self.close or (self.connection.server.draining and self.connection.is_last(self))
+        self.connection.on_response_begin(self)
         lines = [b"HTTP/1.1 %d %b\r\n" % (status, _REASONS[status]), framing]
         lines += [b"%b: %b\r\n" % item for item in headers]
         if self.close:
             lines.append(b"Connection: close\r\n")
         lines.append(b"\r\n")
-        self.parts.append(b"".join(lines))
+        self.unsent_parts.append(b"".join(lines))
 
-    def _end(self) -> None:
+    def _end_response(self) -> None:
         self.done = True
         self.source = None
-        self.conn.server.forget(self.id)
-        self.conn.flush()
+        self.connection.server.release_id(self.id)
+        self.connection.flush()
 
-    def begin_response(self, attempt: Attempt, answer: Response, length: int | None) -> None:
-        """A host's long answer begins: what is passed on can't be taken back."""
+    def begin_response(self, attempt: Attempt, response: Response, length: int | None) -> None:
+        """Begin a streamed response; the parts that are forwarded can't be taken back."""
         self.source = attempt
         framing = b""
         if length is not None:
             framing = b"Content-Length: %d\r\n" % length
-        elif self.old:
-            self.close = True   # its end is told by the close
+        elif self.is_http_1_0:
+            self.close = True   # the close marks the end of the body
         else:
             self.chunked = True
             framing = b"Transfer-Encoding: chunked\r\n"
-        self._head(200, _end_to_end(answer), framing)
-        self.conn.flush()
+        self._begin(200, _end_to_end(response), framing)
+        self.connection.flush()
 
     def write_body(self, data: bytes) -> None:
-        """Some more of it."""
+        """Send a part of the streamed response's body."""
         if data:
-            self.parts.append(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
-            self.conn.flush()
+            self.unsent_parts.append(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
+            self.connection.flush()
 
     def finish(self) -> None:
-        """It has come whole."""
+        """Complete the streamed response."""
         if self.chunked:
-            self.parts.append(b"0\r\n\r\n")
-        self._end()
-        self._count("completed")
+            self.unsent_parts.append(b"0\r\n\r\n")
+        self._end_response()
+        self._count_request("completed")
 
     def abort(self) -> None:
-        """It will not come whole: the connection ends before the answer does."""
-        self._end_nothing()
-        self._count("failed")
+        """Abort the streamed response: the connection is reset before the response is complete."""
+        self._end_with_reset()
+        self._count_request("failed")
 
-    def _end_nothing(self) -> None:
+    def _end_with_reset(self) -> None:
         self.source = None
-        self.conn.server.forget(self.id)
-        self.conn.cut()
+        self.connection.server.release_id(self.id)
+        self.connection.reset()
 
-    def served(self, answer: Response) -> None:
-        """Pass on a host's answer, its body unchanged."""
-        self.respond(200, _end_to_end(answer), answer.body)
-        self._count("completed")
+    def served(self, response: Response) -> None:
+        """Send a host's complete response, with its body unchanged."""
+        self.respond(200, _end_to_end(response), response.body)
+        self._count_request("completed")
 
     def failed(self) -> None:
-        """No promise about the effect."""
+        """Send 502: the request may or may not have had an effect."""
         self.respond(502, [], b"failed\n")
-        self._count("failed")
+        self._count_request("failed")
 
     def refused(self, retry_after_ns: int) -> None:
-        """Trying again is harmless; when, is the module's to say."""
+        """Send 503: the request had no effect.  The module decides on the Retry-After header."""
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ns / SECOND))] if retry_after_ns > 0 else []
         self.respond(503, headers, b"refused\n")
-        self._count("rejected")
+        self._count_request("rejected")
 
     def client_half_closed(self) -> bool:
-        """Whether the client has ended its sending, asked of the kernel."""
-        return self.conn.has_left()
+        """Whether the client has shut down its sending side, according to the kernel."""
+        return self.connection.is_half_closed()
 
-    def _count(self, how: str) -> None:
-        if self.cls:
-            self.conn.server.stats.count_request(self.cls, how)
+    def _count_request(self, result: str) -> None:
+        if self.class_name:
+            self.connection.server.stats.count_request(self.class_name, result)
 
 
-def _end_to_end(answer: Response) -> list[Header]:
-    return [item for item in answer.headers if item[0].lower() not in HOP_BY_HOP and item[0].lower() != LOAD]
+def _end_to_end(response: Response) -> list[Header]:
+    return [item for item in response.headers if item[0].lower() not in HOP_BY_HOP and item[0].lower() != LOAD_HEADER]
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -1,7 +1,7 @@
 """Host connections: the pool, attempts and their outcomes.
 
-An attempt has a connection to itself until it ends.  Its outcome follows from one question, whether the
-request's last byte had been written to the socket: before that it cannot have run, after it, it may have.
+An attempt uses a connection exclusively until it ends.  The outcome of a failed attempt depends on whether the last
+byte of the request had been written to the socket: before that the request can't have run, afterwards it may have.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from bridgesaddle.api import MS, SECOND, HostId, HostState, Outcome
 
 from .attempt import Attempt, Header, Response
-from .body import PIECE, Body, StreamBudget
+from .body import READ_BUFFER_BYTES, Body, StreamBudget
 from .events import event
 from .stats import Stats
 from .syscalls import pending_events, write_before
@@ -26,41 +26,44 @@
 
 log = logging.getLogger("gateway.upstream")
 
-MAX_BODY = 64 * 1024
-"""Longest body of a message that is collected whole, bytes; past that it is streamed."""
-MAX_LONG = 32 * 1024 * 1024
-"""Longest body of any message, bytes."""
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+"""Longest body that is buffered completely; longer ones are streamed."""
+MAX_BODY_BYTES = 32 * 1024 * 1024
+"""Longest body of any message."""
 UNKNOWN_LENGTH_BUFFER_NS = 100 * MS
-"""An answer whose length is not told is collected for so long: a long one's first bytes are waited for."""
+"""How long a response of unknown length is buffered before streaming begins: it delays a long one's first bytes."""
 STREAM_STALL_TIMEOUT_NS = 10 * SECOND
-"""Longest time for a streamed message without any progress, while the other side could go on."""
+"""A streamed message is aborted after this long without progress while the other side could go on."""
 MAX_HEAD_BYTES = 16 * 1024
-"""Longest head of an answer, bytes."""
-IDLE_PART = 0.6
-"""Part of the host's idle time-out for which a connection is kept: well before the host closes it."""
-IDLE_DEFAULT = 10 * SECOND
+"""Longest head of a response."""
+IDLE_TIMEOUT_FRACTION = 0.6
+"""Fraction of the host's idle timeout after which the gateway closes a connection, well before the host does."""
+DEFAULT_IDLE_TIMEOUT_NS = 10 * SECOND
 REUSE_DELAY_NS = 5 * MS
-"""For so long after its answer a connection is not used again.
+"""How long a connection is not reused after a response.
 
-A broken host may answer twice, the second time some milliseconds late: that would be taken for the next answer.
+A faulty host may respond twice, the second time some milliseconds late, which would be taken for the response to the
+next request.
 """
-OWN_TROUBLE_S = 0.01
-"""A connection that fails for a reason on this machine is tried again after so long."""
-KEPT_PER_HOST = 16
-"""Idle connections kept to one host."""
+LOCAL_ERROR_RETRY_S = 0.01
+"""Delay before a connect that failed for a local reason (such as no free descriptors) is retried."""
+MAX_IDLE_PER_HOST = 16
+"""Maximum number of idle connections to one host."""
 HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"te",
                         b"trailer", b"transfer-encoding", b"upgrade", b"content-length", b"expect",
                         b"proxy-connection"))
-"""Headers that concern one connection, or that the gateway words itself."""
+"""Headers that apply to one connection only, or that the gateway generates itself."""
 
 SEND_CHECK_VALID_NS = 5 * MS
-"""An attempt is asked once more whether it may go out where that was asked longer ago: the process may have been
-stopped between the decision and the write."""
-LOAD = b"x-server-load"
+"""How long the check that an attempt may be sent stays valid.
+
+An older check is repeated before the write: the process may have been stopped between the decision and the write.
+"""
+LOAD_HEADER = b"x-server-load"
 
 
 class Host:
-    """A host as discovery last told of it, and the idle connections to it, newest last."""
+    """A host as last announced by discovery, and the idle connections to it, newest last."""
 
     __slots__ = ("address", "idle", "incarnation", "ready", "started")
 
@@ -75,226 +78,232 @@
 class Connection(asyncio.BufferedProtocol):
     """One connection to a host; it carries one attempt at a time."""
 
-    _piece = memoryview(bytearray(PIECE))   # one for all: what is read is parsed before the next read
+    # Shared by all connections: data is parsed before the next read.
+    _read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
 
     def __init__(self, pool: Upstream, host: Host, attempt: Attempt) -> None:
         self._pool = pool
         self.host = host
         self.incarnation = host.incarnation
         self.attempt: Attempt | None = attempt
-        self.booked: Attempt | None = None
+        self.reserved_for: Attempt | None = None
         self.task: asyncio.Task[None] | None = None
         self.transport: asyncio.Transport | None = None
-        self.idle_at = 0
-        self.own_trouble = False   # it does not come up for a reason on this machine: nothing against the host
+        self.idle_since = 0
+        self.local_error = False   # connecting fails for a local reason, not because of the host
         self._parser: Any = httptools.HttpResponseParser(self)
         self._written = False
         self._fd = -1
-        self._body_out: Body | None = None   # a long body that goes out on this connection
+        self._request_body: Body | None = None   # streamed body that is being sent
         self._paused = False
         self.write_blocked = False
-        self.moved = now_ns()    # when a stream last made progress
+        self.last_progress_at = now_ns()   # when a streamed message last made progress
         self._reset()
 
     def _reset(self) -> None:
         self._length: int | None = None
         self._chunked = False
-        self._stream = False
-        self._waits = False
+        self._streaming = False
+        self._buffer_timer_set = False
         self._headers: list[Header] = []
         self._body = bytearray()
-        self._size = 0
-        self._raw = 0
+        self._header_bytes = 0
+        self._raw_head_bytes = 0
         self._head_done = False
         self._complete = False
         self._keep_alive = False
-        self._broken = ""
+        self._error = ""
 
-    # The transport's side.
+    # Transport callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Guards against a late connect: what is no longer wanted by now is not sent."""
-        self.transport = cast(asyncio.Transport, transport)   # uvloop has its own kind
-        self.task = None   # its result refers to this connection
+        """Send the attempt, unless it is no longer wanted by the time the connection is established."""
+        self.transport = cast(asyncio.Transport, transport)   # uvloop has a class of its own
+        self.task = None   # the task's result refers to this connection
         self._fd = transport.get_extra_info("socket").fileno()
-        self.transport.set_write_buffer_limits(high=0)   # pause_writing: a part is not yet written
+        self.transport.set_write_buffer_limits(high=0)   # pause_writing is called if any part is not yet written
         attempt = self.attempt
-        if attempt is not None and self.may_carry(attempt):
+        if attempt is not None and self.may_send_attempt(attempt):
             self._write(attempt)
         else:
-            self.give_up(self._pool.unsent())
+            self.abandon(self._pool.unsent_outcome())
 
-    def may_carry(self, attempt: Attempt) -> bool:
-        """Whether an attempt that has waited for this connection is still wanted, and here."""
-        attempt.checked = now_ns()
+    def may_send_attempt(self, attempt: Attempt) -> bool:
+        """Whether an attempt that has waited for this connection may still be sent, and on this connection."""
+        attempt.checked_at = now_ns()
         self._pool.before_send()
         if attempt.done:
             return False
         if not self.host.ready or self.incarnation != self.host.incarnation:
             self._pool.stats.sends_stopped += 1
             return False
-        return self._pool.may_send() and now_ns() < min(attempt.expires_at, attempt.begin_by) and not attempt.unwanted()
+        return self._pool.may_send() and now_ns() < min(attempt.expires_at, attempt.begin_by) \
+            and not attempt.client_left()
 
-    def book(self, attempt: Attempt) -> None:
-        """An attempt that goes out here once the connection has rested."""
-        self.booked = attempt
+    def reserve(self, attempt: Attempt) -> None:
+        """Reserve the connection for an attempt, to be sent once the reuse delay is over."""
+        self.reserved_for = attempt
         self._written = False
-        attempt.conn = self
+        attempt.connection = self
 
-    def fresh(self) -> bool:
-        """Guards against an end or bytes that wait unread: the next request would get them for its answer."""
+    def is_reusable(self) -> bool:
+        """Whether the connection is open and nothing waits unread on it.
+
+        Unread bytes or an end of stream would be taken for the response to the next request.
+        """
         return self.transport is not None and not self.transport.is_closing() and not pending_events(self.transport)
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt to a connection that stood idle."""
+        """Send an attempt on an idle connection."""
         self._reset()
         self.attempt = attempt
-        attempt.conn = self
+        attempt.connection = self
         self._write(attempt)
 
-    def _may_still(self, attempt: Attempt) -> bool:
-        """Whether an attempt may go out, asked anew where that was asked too long ago.
+    def _may_write(self, attempt: Attempt) -> bool:
+        """Whether an attempt may be sent; a check that is too old is repeated.
 
-        Its time is looked at always: a decision may be of this moment and its request's deadline long past.
+        The deadline is always checked: even a decision made just now may be about a request whose deadline has passed.
         """
         now = now_ns()
-        return now < attempt.expires_at and (now - attempt.checked <= SEND_CHECK_VALID_NS or self.may_carry(attempt))
+        return now < attempt.expires_at \
+            and (now - attempt.checked_at <= SEND_CHECK_VALID_NS or self.may_send_attempt(attempt))
 
     def _write(self, attempt: Attempt) -> None:
         transport = self.transport
         assert transport is not None
         self._written = False
         self.write_blocked = False
-        self._body_out = attempt.body
-        while self._may_still(attempt):
-            now = self.moved = now_ns()   # the last look but one, by which the time left is worded
+        self._request_body = attempt.body
+        while self._may_write(attempt):
+            now = self.last_progress_at = now_ns()   # the time left that is sent to the host is computed from this
             message = attempt.message(now)
-            # What is decided and worded is written at once or not at all: guards against a stop in between.  So ahead
-            # of the transport, whose own way to the socket is much longer.
+            # The message is written immediately or not at all, as the process may be stopped in between.  It is
+            # written to the socket directly, as the transport takes much longer to reach its own write call.
             sent = -1 if transport.is_closing() \
-                else write_before(self._fd, message, min(attempt.checked, now) + SEND_CHECK_VALID_NS)
+                else write_before(self._fd, message, min(attempt.checked_at, now) + SEND_CHECK_VALID_NS)
             if sent >= 0:
                 if sent < len(message):
                     transport.write(message[sent:])
                 if attempt.body is not None:
                     self._begin_body(transport, attempt.body)
                 else:
-                    self._flushed()
+                    self._check_written()
                 return
             if transport.is_closing():
                 break
-        self.give_up(Outcome.MOOT)
+        self.abandon(Outcome.MOOT)
 
     def _begin_body(self, transport: asyncio.Transport, body: Body) -> None:
-        """Send what has come of a long body; the rest follows as it comes."""
+        """Send the part of a streamed body that has arrived; the rest is sent as it arrives."""
         start = body.attach(self)
         if start:
             self.write_body(start)
         if body.complete:
             self.finish_body()
-        body.steer()
+        body.update_reading()
 
-    def _flushed(self) -> None:
-        """Ask whether the last byte is on the socket."""
+    def _check_written(self) -> None:
+        """Check whether the last byte has been written to the socket."""
         transport = self.transport
         assert transport is not None
-        # With a limit of 0 the transport tries the socket at once; what is left is only buffered.
+        # With a high-water mark of 0 the transport writes immediately and buffers only what the socket does not take.
         if not transport.is_closing() and not transport.get_write_buffer_size():
-            self._whole()
+            self._on_request_written()
 
     def write_body(self, data: bytes) -> None:
-        """Some more of a long body."""
-        body, transport = self._body_out, self.transport
+        """Send a part of a streamed body."""
+        body, transport = self._request_body, self.transport
         if body is not None and transport is not None and not transport.is_closing():
             transport.write(b"%x\r\n%b\r\n" % (len(data), data) if body.length is None else data)
             if not self.write_blocked:
-                self.moved = now_ns()
+                self.last_progress_at = now_ns()
 
     def finish_body(self) -> None:
-        """A long body has come whole."""
-        body, transport = self._body_out, self.transport
+        """Complete a streamed body."""
+        body, transport = self._request_body, self.transport
         if body is not None and transport is not None and not transport.is_closing():
             if body.length is None:
                 transport.write(b"0\r\n\r\n")
-            self._flushed()
+            self._check_written()
 
     def pause_writing(self) -> None:
-        """The host does not take what it is given: the client waits too."""
+        """The host's socket takes no more data: backpressure on the client."""
         self.write_blocked = True
-        if self._body_out is not None:
-            self._body_out.steer()
+        if self._request_body is not None:
+            self._request_body.update_reading()
 
     def resume_writing(self) -> None:
-        """The buffer is empty: what was given is on the socket, up to the last byte if that has come."""
+        """The buffer is empty: all data so far is on the socket, including the last byte if it has arrived."""
         self.write_blocked = False
-        self.moved = now_ns()
-        if self._body_out is None or self._body_out.complete:
-            self._whole()
-        if self._body_out is not None:
-            self._body_out.steer()
+        self.last_progress_at = now_ns()
+        if self._request_body is None or self._request_body.complete:
+            self._on_request_written()
+        if self._request_body is not None:
+            self._request_body.update_reading()
 
-    def _whole(self) -> None:
+    def _on_request_written(self) -> None:
         if not self._written:
             self._written = True
-            if self._body_out is not None and self.attempt is not None:
-                self.attempt.started = now_ns()   # a host begins once the last byte has come
+            if self._request_body is not None and self.attempt is not None:
+                self.attempt.started_at = now_ns()   # a host starts work at the last byte
             if self.attempt is not None and not self.attempt.probe:
                 self._pool.stats.upstream_requests += 1
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self._piece[:self._pool.stream_budget.read_bytes()] if self._stream else self._piece
+        return self._read_buffer[:self._pool.stream_budget.read_bytes()] if self._streaming else self._read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.moved = now_ns()
-        self.data_received(self._piece[:nbytes])
+        self.last_progress_at = now_ns()
+        self.data_received(self._read_buffer[:nbytes])
 
     def data_received(self, data: memoryview) -> None:
-        """Feed the answer; what comes without a request waiting spoils the connection."""
+        """Parse the response; bytes that arrive while no request waits for one make the connection unusable."""
         if self.attempt is None or self._parser is None:
-            log.warning("unasked bytes from %s", self.host.address)
+            log.warning("unsolicited bytes from host %s; closing the connection", self.host.address)
             self._close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._broken = "upgrade"
+            self._error = "upgrade"
         except httptools.HttpParserError as error:
-            self._broken = str(error) or "malformed"
+            self._error = str(error) or "malformed"
         if not self._head_done:
-            self._raw += len(data)   # guards against a head without end, which shows no header
-            if self._raw > 2 * MAX_HEAD_BYTES:
-                self._broken = "a head too long"
-        self._judge()
+            self._raw_head_bytes += len(data)   # limits a head that never ends, which yields no header
+            if self._raw_head_bytes > 2 * MAX_HEAD_BYTES:
+                self._error = "head too long"
+        self._process_response()
 
     def eof_received(self) -> None:
-        """The host has ended its sending, which ends an answer that tells no length."""
+        """The host has closed its sending side, which ends a response without a length."""
         if self.attempt is not None and self._head_done and self._length is None and not self._chunked \
-                and not self._broken and not self._complete:
+                and not self._error and not self._complete:
             self._complete = True
-            self._judge()
+            self._process_response()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Broken: before the last byte was written it cannot have run, after that it may have."""
-        self._pool.lost(self)
-        self._parser = None   # it refers to this connection: a cycle, which would stay until it is collected
+        """The connection is lost: the request can't have run before its last byte was written, and may have after."""
+        self._pool.remove(self)
+        self._parser = None   # breaks a reference cycle, which would last until a garbage collection
         attempt, self.attempt = self.attempt, None
-        self._detach()
+        self._detach_body()
         if attempt is not None:
             attempt.end(Outcome.RESET if self._written else Outcome.CONNECT_FAILED)
-        self._pool.rested(self)
+        self._pool.on_reusable(self)
 
-    # The parser's side: it only notes, as what a callback raises would be lost in the parser.
+    # Parser callbacks.  They only record errors, as the parser would swallow an exception raised in a callback.
 
     def on_message_begin(self) -> None:
         if self._complete:
-            self._broken = "more than one answer"
+            self._error = "more than one response"
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._size += len(name) + len(value)
-        if self._size > MAX_HEAD_BYTES:
-            self._broken = "a head too long"
-        elif not self._head_done:   # trailers are no headers
-            self._headers.append((name, value.strip(b" \t")))   # the parser leaves white space behind it
+        self._header_bytes += len(name) + len(value)
+        if self._header_bytes > MAX_HEAD_BYTES:
+            self._error = "head too long"
+        elif not self._head_done:   # trailers are ignored
+            self._headers.append((name, value.strip(b" \t")))   # the parser keeps trailing whitespace
 
     def on_headers_complete(self) -> None:
         self._head_done = True
@@ -303,8 +312,8 @@
             if lower == b"transfer-encoding":
                 self._chunked = True
             elif lower == b"content-length":
-                if not value.isdigit() or int(value[:20]) > MAX_LONG:
-                    self._broken = "a body too long"
+                if not value.isdigit() or int(value[:20]) > MAX_BODY_BYTES:
+                    self._error = "body too long"
                 else:
                     self._length = int(value)
 
@@ -314,57 +323,58 @@
         self._body += body
 
     def on_message_complete(self) -> None:
-        if self._parser.get_status_code() < 200:   # interim: the answer is still to come
+        if self._parser.get_status_code() < 200:   # an interim response: the final one follows
             self._headers.clear()
             self._head_done = False
             self._length, self._chunked = None, False
-        elif not self._broken:   # guards against passing on what is whole but can't be right
+        elif not self._error:   # never forward a response that is complete but malformed
             self._complete = True
-            # Asked here: guards against connections never reused, as the parser has forgotten it afterwards.
+            # Read here, as the parser resets it after this callback, and connections would never be reused.
             self._keep_alive = self._parser.should_keep_alive()
 
-    # What follows.
+    # Response handling.
 
-    def _judge(self) -> None:
+    def _process_response(self) -> None:
         attempt = self.attempt
         if attempt is None:
             return
-        long = self._stream or len(self._body) > MAX_BODY or (self._length or 0) > MAX_BODY
-        if self._body and long and not self._broken and not self._pass_on(attempt):
+        is_long = self._streaming or len(self._body) > MAX_BUFFERED_BODY_BYTES \
+            or (self._length or 0) > MAX_BUFFERED_BODY_BYTES
+        if self._body and is_long and not self._error and not self._forward_body(attempt):
             return
-        if self._body and not long and not self._complete and self._length is None and not self._waits:
-            self._waits = True
-            left = max(0, attempt.expires_at - now_ns())   # held until then it would be cut, however long it is
-            self._pool.timers.after(min(UNKNOWN_LENGTH_BUFFER_NS, left // 4), self._overdue, attempt)
+        if self._body and not is_long and not self._complete and self._length is None and not self._buffer_timer_set:
+            self._buffer_timer_set = True
+            left = max(0, attempt.expires_at - now_ns())   # buffered until the deadline, it would be aborted
+            self._pool.timers.after(min(UNKNOWN_LENGTH_BUFFER_NS, left // 4), self._on_buffer_timeout, attempt)
         if not self._complete:
-            if self._broken:
-                log.warning("spoilt answer from %s: %s", self.host.address, self._broken)
-                self.give_up(Outcome.RESET)
+            if self._error:
+                log.warning("malformed response from host %s: %s", self.host.address, self._error)
+                self.abandon(Outcome.RESET)
             return
         status = self._parser.get_status_code()
-        answer = Response(status, self._headers, bytes(self._body))
-        outcome = _outcome(answer)
-        attempt.load = next((value for name, value in answer.headers if name.lower() == LOAD), b"")
+        response = Response(status, self._headers, bytes(self._body))
+        outcome = _outcome(response)
+        attempt.load_report = next((value for name, value in response.headers if name.lower() == LOAD_HEADER), b"")
         self.attempt = None
-        self._detach()
-        attempt.conn = None
-        if self._written and not self._broken and self._keep_alive:
+        self._detach_body()
+        attempt.connection = None
+        if self._written and not self._error and self._keep_alive:
             self.pause(False)
-            self._pool.keep(self)
+            self._pool.release(self)
         else:
             self._close()
-        attempt.end(outcome, answer if outcome is Outcome.OK and not self._stream else None)
+        attempt.end(outcome, response if outcome is Outcome.OK and not self._streaming else None)
 
-    def _pass_on(self, attempt: Attempt) -> bool:
-        """A long answer goes on as it comes; False once the attempt is over."""
-        if not self._stream:
+    def _forward_body(self, attempt: Attempt) -> bool:
+        """Stream the response body to the receiver; False once the attempt has ended."""
+        if not self._streaming:
             status = self._parser.get_status_code()
             if status != 200 or attempt.receiver is None:
-                self._broken = "a body too long"
+                self._error = "body too long"
                 return True
-            self._stream = True
-            attempt.load = next((value for name, value in self._headers if name.lower() == LOAD), b"")
-            attempt.begun = now_ns()
+            self._streaming = True
+            attempt.load_report = next((value for name, value in self._headers if name.lower() == LOAD_HEADER), b"")
+            attempt.response_started_at = now_ns()
             if not attempt.receiver.begin_response(attempt, Response(status, self._headers, b""), self._length):
                 return False
         data = bytes(self._body)
@@ -373,75 +383,76 @@
             attempt.receiver.write_body(attempt, data)
         return not attempt.done
 
-    def _overdue(self, attempt: Attempt) -> None:
-        if self.attempt is attempt and not self._stream:
-            self.commit()
+    def _on_buffer_timeout(self, attempt: Attempt) -> None:
+        if self.attempt is attempt and not self._streaming:
+            self.start_streaming()
 
-    def commit(self) -> bool:
-        """Pass on what has come of an answer whose length is not told: it may be a long one."""
+    def start_streaming(self) -> bool:
+        """Start streaming a response of unknown length, if a part of its body has arrived."""
         attempt = self.attempt
-        if attempt is None or attempt.receiver is None or not self._body or self._broken \
+        if attempt is None or attempt.receiver is None or not self._body or self._error \
                 or self._length is not None or self._parser.get_status_code() != 200:
             return False
-        self._pass_on(attempt)
+        self._forward_body(attempt)
         return True
 
-    def pause(self, wanted: bool) -> None:
-        """Backpressure: the answer waits at the host while its client does not take it."""
-        if wanted != self._paused and self.transport is not None and not self.transport.is_closing():
-            self._paused = wanted
-            self.moved = now_ns()
-            if wanted:
+    def pause(self, paused: bool) -> None:
+        """Backpressure: stop reading the response while the client does not read it, or go on."""
+        if paused != self._paused and self.transport is not None and not self.transport.is_closing():
+            self._paused = paused
+            self.last_progress_at = now_ns()
+            if paused:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
 
     def stalled(self, now: int) -> bool:
-        """Whether a stream has made no progress for too long though the other side could go on."""
-        waits = (self._stream and not self._paused) or (self._body_out is not None and self.write_blocked)
-        return waits and now - self.moved > STREAM_STALL_TIMEOUT_NS
+        """Whether a streamed message has made no progress for too long although the other side could go on."""
+        could_progress = (self._streaming and not self._paused) \
+            or (self._request_body is not None and self.write_blocked)
+        return could_progress and now - self.last_progress_at > STREAM_STALL_TIMEOUT_NS
 
-    def _detach(self) -> None:
-        body, self._body_out = self._body_out, None
+    def _detach_body(self) -> None:
+        body, self._request_body = self._request_body, None
         if body is not None:
             body.detach(self)
 
-    def give_up(self, outcome: Outcome) -> None:
-        """End the attempt and close; buffered bytes of it are thrown away, never sent later."""
-        attempt, self.attempt, self.booked = self.attempt or self.booked, None, None
-        self._detach()
+    def abandon(self, outcome: Outcome) -> None:
+        """End the attempt and close the connection; its buffered bytes are discarded, never sent later."""
+        attempt, self.attempt, self.reserved_for = self.attempt or self.reserved_for, None, None
+        self._detach_body()
         self._close()
         if attempt is not None:
             attempt.end(outcome)
 
     def written(self) -> bool:
-        """Whether the request's last byte is on the socket."""
+        """Whether the request's last byte has been written to the socket."""
         return self._written
 
     def _close(self) -> None:
         if self.transport is not None:
             self.transport.abort()
         else:
-            self._pool.lost(self)
+            self._pool.remove(self)
             if self.task is not None:
                 self.task.cancel()
 
     close = _close
 
 
-def _outcome(answer: Response) -> Outcome:
-    """PROTOCOL's table; what it does not foresee may have run."""
-    if answer.status == 200:
+def _outcome(response: Response) -> Outcome:
+    """The outcome of a response by the table in PROTOCOL; any status not listed there may have run."""
+    if response.status == 200:
         return Outcome.OK
-    if answer.status in (503, 504):
-        marks = [value for name, value in answer.headers if name.lower() == b"x-not-processed"]
-        if marks == [b"1"]:
+    if response.status in (503, 504):
+        values = [value for name, value in response.headers if name.lower() == b"x-not-processed"]
+        if values == [b"1"]:
             return Outcome.FULL
-    return Outcome.REJECTED if answer.status == 400 else Outcome.ERROR
+    return Outcome.REJECTED if response.status == 400 else Outcome.ERROR
 
 
 class Upstream:
-    """All connections to hosts, within one bound; it sends what it is given and nothing by itself."""
+    """All connections to hosts, within one limit; it sends only the attempts that it is given."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, max_connections: int,
                  connect_timeout_ns: int, idle_ns: int, stats: Stats, stream_budget: StreamBudget) -> None:
@@ -450,29 +461,29 @@
         self.stats = stats
         self.timers = timers
         self.max_connections = max_connections
-        self.before_send: Callable[[], None] = lambda: None   # what discovery has written is read
-        self.may_send: Callable[[], bool] = lambda: True      # whether the list may be followed
+        self.before_send: Callable[[], None] = lambda: None   # reads pending updates from discovery
+        self.may_send: Callable[[], bool] = lambda: True   # whether the list's lease is valid
         self.on_settings(connect_timeout_ns, idle_ns)
         self._hosts: dict[HostId, Host] = {}
         self._connections: set[Connection] = set()
         self.connections_opened = 0
 
     def on_settings(self, connect_timeout_ns: int, idle_ns: int) -> None:
-        """How long a connection may take to come up, and after how long hosts close it; 0: not told."""
-        self._connect_timeout = connect_timeout_ns or 250 * MS
-        self._idle = int(idle_ns * IDLE_PART) if idle_ns else IDLE_DEFAULT
+        """Set the connect timeout and the idle timeout of hosts; 0: use the default."""
+        self._connect_timeout_ns = connect_timeout_ns or 250 * MS
+        self._idle_timeout_ns = int(idle_ns * IDLE_TIMEOUT_FRACTION) if idle_ns else DEFAULT_IDLE_TIMEOUT_NS
 
-    def apply(self, whole: bool, listed: Iterable[ListedHost]) -> None:
-        """Take in the list before anything more is sent; connections to what is gone are dropped."""
+    def apply(self, is_full: bool, listed: Iterable[ListedHost]) -> None:
+        """Apply a list before anything more is sent; connections to hosts that are gone are closed."""
         seen = set()
         for entry, address in listed:
             seen.add(entry.host)
-            self._learn(entry.host, address, entry.started_ns, entry.state)
-        if whole:
-            for host_id in [known for known in self._hosts if known not in seen]:
-                self._learn(host_id, self._hosts[host_id].address, 0, HostState.GONE)
+            self._update_host(entry.host, address, entry.started_ns, entry.state)
+        if is_full:
+            for host_id in [known_id for known_id in self._hosts if known_id not in seen]:
+                self._update_host(host_id, self._hosts[host_id].address, 0, HostState.GONE)
 
-    def _learn(self, host_id: HostId, address: tuple[str, int], started: int, state: HostState) -> None:
+    def _update_host(self, host_id: HostId, address: tuple[str, int], started: int, state: HostState) -> None:
         host = self._hosts.setdefault(host_id, Host())
         ready = state is HostState.READY
         if ready is not host.ready or started != host.started:
@@ -482,7 +493,7 @@
             host.incarnation += 1
             del self._hosts[host_id]
         elif address != host.address or (started and started != host.started):
-            # Guards against a restarted host: its old sockets are dead, and say nothing until they are used.
+            # The host has restarted: its old connections are dead, which would show only when they are used.
             host.incarnation += 1
             host.address, host.started = address, started
         if host.idle and (not host.ready or host.idle[0].incarnation != host.incarnation):
@@ -490,158 +501,162 @@
 
     @property
     def host_count(self) -> int:
-        """Hosts in the list."""
+        """Number of hosts in the list."""
         return len(self._hosts)
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt on the newest idle connection that has rested, or on the first to do so or to come up."""
+        """Send an attempt on the newest reusable idle connection, else on the first that becomes reusable or connects.
+        """
         if attempt.begin_by < attempt.expires_at:
-            self.timers.at(attempt.begin_by, self._too_late, attempt)
-        self._place(attempt)
+            self.timers.at(attempt.begin_by, self._on_write_deadline, attempt)
+        self._assign_connection(attempt)
 
-    def _place(self, attempt: Attempt) -> None:
+    def _assign_connection(self, attempt: Attempt) -> None:
         host = self._hosts.get(attempt.host)
         if host is None or not host.ready:
             self.stats.sends_stopped += 1
             attempt.end(Outcome.CONNECT_FAILED)
             return
         now = now_ns()
-        rested = now - REUSE_DELAY_NS
-        stale = now - self._idle   # its host may close it in this moment, and the sweep comes late
-        for at in range(len(host.idle) - 1, -1, -1):
-            if host.idle[at].idle_at <= rested:
-                conn = host.idle.pop(at)
-                if conn.idle_at > stale and conn.fresh():
-                    conn.send(attempt)
+        reusable_before = now - REUSE_DELAY_NS
+        too_old = now - self._idle_timeout_ns   # the host may be closing it, and the sweep may be late
+        for index in range(len(host.idle) - 1, -1, -1):
+            if host.idle[index].idle_since <= reusable_before:
+                connection = host.idle.pop(index)
+                if connection.idle_since > too_old and connection.is_reusable():
+                    connection.send(attempt)
                     return
-                conn.close()
-        if host.idle:   # it rests for less time than a new connection would take of its host's
-            conn = host.idle.pop(0)
-            conn.book(attempt)
-            self.timers.at(conn.idle_at + REUSE_DELAY_NS, self.rested, conn)
+                connection.close()
+        if host.idle:   # waiting for it costs its host less time than a new connection
+            connection = host.idle.pop(0)
+            connection.reserve(attempt)
+            self.timers.at(connection.idle_since + REUSE_DELAY_NS, self.on_reusable, connection)
             return
-        if len(self._connections) >= self.max_connections and not self._evict():
-            log.warning("no room for a connection: %d open", len(self._connections))
+        if len(self._connections) >= self.max_connections and not self._close_oldest_idle():
+            log.warning("connection limit reached: %d connections to hosts are open", len(self._connections))
             attempt.end(Outcome.CONNECT_FAILED)
             return
-        conn = attempt.conn = Connection(self, host, attempt)
-        self._connections.add(conn)
+        connection = attempt.connection = Connection(self, host, attempt)
+        self._connections.add(connection)
         self.connections_opened += 1
-        conn.task = self._loop.create_task(self._connect(conn))
-        self.timers.after(self._connect_timeout, self._connect_overdue, conn)
+        connection.task = self._loop.create_task(self._connect(connection))
+        self.timers.after(self._connect_timeout_ns, self._on_connect_timeout, connection)
+
+    def unsent_outcome(self) -> Outcome:
+        """The outcome of an attempt that was stopped before it was written.
 
-    def unsent(self) -> Outcome:
-        """Of an attempt that was stopped before its write: nothing against its host if only the list is too old."""
+        If the lease has expired, the outcome does not count against the host.
+        """
         return Outcome.CONNECT_FAILED if self.may_send() else Outcome.MOOT
 
-    def rested(self, conn: Connection) -> None:
-        """A connection has rested, or has broken meanwhile: the attempt that waits for it goes out."""
-        attempt, conn.booked = conn.booked, None
+    def on_reusable(self, connection: Connection) -> None:
+        """The reuse delay is over, or the connection has been lost: send the attempt that waits for it."""
+        attempt, connection.reserved_for = connection.reserved_for, None
         if attempt is None:
             return
-        if not conn.may_carry(attempt):
-            conn.close()
-            attempt.end(self.unsent())
-        elif conn.fresh():
-            conn.send(attempt)
+        if not connection.may_send_attempt(attempt):
+            connection.close()
+            attempt.end(self.unsent_outcome())
+        elif connection.is_reusable():
+            connection.send(attempt)
         else:
-            conn.close()
-            attempt.conn = None
-            self._place(attempt)
+            connection.close()
+            attempt.connection = None
+            self._assign_connection(attempt)
 
-    async def _connect(self, conn: Connection) -> None:
+    async def _connect(self, connection: Connection) -> None:
         while True:
             try:
-                await self._loop.create_connection(lambda: conn, *conn.host.address)
+                await self._loop.create_connection(lambda: connection, *connection.host.address)
                 return
             except OSError as error:
-                conn.own_trouble = error.errno in LOCAL_ERRNOS
-                if not conn.own_trouble:
+                connection.local_error = error.errno in LOCAL_ERRNOS
+                if not connection.local_error:
                     break
-                event(log, "connect_failed", host=conn.host.address[1], errno=error.errno, why="this machine's trouble")
-            await asyncio.sleep(OWN_TROUBLE_S)   # `_connect_overdue` ends it
-        conn.task = None
-        conn.give_up(Outcome.CONNECT_FAILED)
+                event(log, "connect_failed", host=connection.host.address[1], errno=error.errno, why="local error")
+            await asyncio.sleep(LOCAL_ERROR_RETRY_S)   # `_on_connect_timeout` ends the loop
+        connection.task = None
+        connection.abandon(Outcome.CONNECT_FAILED)
 
-    def _connect_overdue(self, conn: Connection) -> None:
-        if conn.transport is None:
-            conn.give_up(Outcome.MOOT if conn.own_trouble else Outcome.CONNECT_FAILED)
+    def _on_connect_timeout(self, connection: Connection) -> None:
+        if connection.transport is None:
+            connection.abandon(Outcome.MOOT if connection.local_error else Outcome.CONNECT_FAILED)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt: its connection closes, and nothing of it is sent any more."""
-        self._stop(attempt, Outcome.CANCELLED)
+        """Cancel an attempt: its connection is closed, and nothing more of it is sent."""
+        self._end_attempt(attempt, Outcome.CANCELLED)
 
     def expire(self, attempt: Attempt) -> None:
-        """The attempt's time is up.  It has timed out if it was sent, else it never ran."""
-        if attempt.begun or (attempt.conn is not None and attempt.conn.commit()):
-            return   # the host still gives: nothing of a long answer is cut
-        self._stop(attempt, Outcome.TIMEOUT if attempt.written() else Outcome.CONNECT_FAILED)
+        """The attempt's deadline has passed.  It has timed out if it was sent; otherwise it never ran."""
+        if attempt.response_started_at or (attempt.connection is not None and attempt.connection.start_streaming()):
+            return   # a streamed response has no deadline
+        self._end_attempt(attempt, Outcome.TIMEOUT if attempt.written() else Outcome.CONNECT_FAILED)
 
-    def _too_late(self, attempt: Attempt) -> None:
-        """A copy of which the last byte is not written by now would be begun past the window for repeats."""
+    def _on_write_deadline(self, attempt: Attempt) -> None:
+        """Stop a retry whose last byte is not written yet: its host would begin it after the retry window."""
         if not attempt.done and not attempt.written():
-            self._stop(attempt, Outcome.MOOT)   # nothing against a host that may have had some milliseconds only
+            self._end_attempt(attempt, Outcome.MOOT)   # not the host's fault: it may have had only some milliseconds
 
-    def _stop(self, attempt: Attempt, outcome: Outcome) -> None:
-        if attempt.conn is not None:
-            attempt.conn.give_up(outcome)
+    def _end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        if attempt.connection is not None:
+            attempt.connection.abandon(outcome)
         else:
             attempt.end(outcome)
 
-    def keep(self, conn: Connection) -> None:
-        """Take back a connection whose answer has come whole."""
-        host = conn.host
-        if not host.ready or conn.incarnation != host.incarnation:
-            conn.close()
+    def release(self, connection: Connection) -> None:
+        """Return a connection to the pool after a complete response."""
+        host = connection.host
+        if not host.ready or connection.incarnation != host.incarnation:
+            connection.close()
             return
-        conn.idle_at = now_ns()
-        host.idle.append(conn)
-        if len(host.idle) > KEPT_PER_HOST:
+        connection.idle_since = now_ns()
+        host.idle.append(connection)
+        if len(host.idle) > MAX_IDLE_PER_HOST:
             host.idle.pop(0).close()
 
-    def lost(self, conn: Connection) -> None:
-        """Forget a connection that is closed."""
-        self._connections.discard(conn)
-        if conn in conn.host.idle:
-            conn.host.idle.remove(conn)
+    def remove(self, connection: Connection) -> None:
+        """Remove a closed connection."""
+        self._connections.discard(connection)
+        if connection in connection.host.idle:
+            connection.host.idle.remove(connection)
 
     def close_surplus_idle(self) -> None:
-        """Close idle connections above the bound, which may have fallen."""
-        while len(self._connections) > self.max_connections and self._evict():
+        """Close idle connections above the limit, which may have been lowered."""
+        while len(self._connections) > self.max_connections and self._close_oldest_idle():
             pass
 
-    def _evict(self) -> bool:
-        """Close the connection that has been idle longest, to make room for one that is needed."""
+    def _close_oldest_idle(self) -> bool:
+        """Close the connection that has been idle longest; False if none is idle."""
         idle = [host for host in self._hosts.values() if host.idle]
         if not idle:
             return False
-        conn = min(idle, key=lambda host: host.idle[0].idle_at).idle.pop(0)
-        self._connections.discard(conn)
-        conn.close()
+        connection = min(idle, key=lambda host: host.idle[0].idle_since).idle.pop(0)
+        self._connections.discard(connection)
+        connection.close()
         return True
 
     def _drop_idle(self, host: Host) -> None:
-        for conn in host.idle:
-            conn.close()
+        for connection in host.idle:
+            connection.close()
         host.idle.clear()
 
     def close_idle(self, host_id: HostId) -> None:
-        """The module's `close`."""
+        """Close the idle connections to a host (the action `close`)."""
         host = self._hosts.get(host_id)
         if host is not None:
             self._drop_idle(host)
 
     def sweep(self, now: int) -> None:
-        """Close what has stood idle, clearly before the host does, and streams that stand still."""
-        for conn in [conn for conn in self._connections if conn.stalled(now)]:
-            log.warning("a stream to or from %s stands still", conn.host.address)
-            conn.give_up(Outcome.RESET if conn.written() else Outcome.CONNECT_FAILED)
+        """Close connections idle for too long, well before the host does, and abort stalled streams."""
+        for connection in [connection for connection in self._connections if connection.stalled(now)]:
+            log.warning("closing a stalled stream to or from host %s", connection.host.address)
+            connection.abandon(Outcome.RESET if connection.written() else Outcome.CONNECT_FAILED)
         for host in self._hosts.values():
-            while host.idle and now - host.idle[0].idle_at >= self._idle:
+            while host.idle and now - host.idle[0].idle_since >= self._idle_timeout_ns:
                 host.idle.pop(0).close()
 
     def close(self) -> None:
-        """End everything; the program is over."""
+        """Close all connections as the process exits."""
         self._hosts.clear()
-        for conn in list(self._connections):
-            conn.close()
+        for connection in list(self._connections):
+            connection.close()
