--- a/gateway/core.py
+++ b/gateway/core.py
@@ -37,9 +37,10 @@
 FALLBACK_MARGIN_NS = 3 * MS
 """The gateway sends an error response this long before the client's timeout if the module has not decided."""
 HALF_CLOSED_CONNECT_NS = 50 * MS
-"""Time after the client's end of sending (half-close) within which a pending attempt may still connect to its host.
+"""Time after the client has shut down its sending side within which a pending attempt may still connect to its host.
 
-No attempt may begin later than 0.1 s after its client has left; server.py may need `UNREAD_POLL_INTERVAL_NS` to detect that.
+No attempt may begin later than 0.1 s after its client has left; server.py may take `UNREAD_POLL_INTERVAL_NS` to notice
+that.
 """
 MIN_TIME_LEFT_NS = 2 * RESPONSE_MARGIN_NS
 """A request with less time left when it is read is refused without an attempt."""
--- a/gateway/server.py
+++ b/gateway/server.py
@@ -297,7 +297,7 @@
             self._length = int(lengths[0]) if lengths else None
             self._body_started_at = now_ns()
             if (lengths or has_coding) and any(name.lower() == b"expect" and value.lower() == b"100-continue"
-                                              for name, value in self._headers):
+                                               for name, value in self._headers):
                 self._expects_continue = True
                 self._send_continue()
 
