--- a/gateway/core.py
+++ b/gateway/core.py
@@ -123,13 +123,13 @@
 class Request:
     """An open request; it stays in the table until its attempts have ended too."""
 
-    __slots__ = ("attempts", "body", "client_half_closed", "client_id", "deadline", "exchange", "fallback_at",
-                 "in_flight", "max_attempts", "payload", "rid", "streamed", "ttl")
+    __slots__ = ("attempts", "body", "client_half_closed", "deadline", "exchange", "fallback_at", "in_flight",
+                 "max_attempts", "payload", "request_id", "rid", "streamed", "ttl")
 
-    def __init__(self, rid: int, client_id: bytes, exchange: Exchange, payload: tuple[bytes, bytes], deadline: int,
+    def __init__(self, rid: int, request_id: bytes, exchange: Exchange, payload: tuple[bytes, bytes], deadline: int,
                  max_attempts: int) -> None:
         self.rid = rid
-        self.client_id = client_id   # the client's request id, for the log
+        self.request_id = request_id   # the client's id of the request, for the log
         self.max_attempts = max_attempts   # the limit that was in effect when it arrived
         self.exchange: Exchange | None = exchange   # None once it is answered or the client has gone
         self.payload = payload
@@ -305,7 +305,7 @@
             self._module.on_request(now, request.rid, parsed.cls, parsed.tenant, parsed.key, time_left, parsed.hint_ns,
                                     parsed.repeat, parsed.write)
         elif request.exchange is not None:
-            event(log, "refused", request=request.client_id, why="deadline passed before a decision")
+            event(log, "refused", request=request.request_id, why="deadline passed before a decision")
             exchange, request.exchange = request.exchange, None
             exchange.refused(0)
             self._end_request(request)
@@ -422,7 +422,7 @@
         """Fail a request that the module has not decided on shortly before the client's timeout."""
         if request.exchange is not None and now_ns() >= request.fallback_at:
             log.error("decision module did not answer request %s before its deadline",
-                      request.client_id.decode("ascii", "backslashreplace"))
+                      request.request_id.decode("ascii", "backslashreplace"))
             self._fail_request(request)
 
     def _fail_request(self, request: Request) -> None:
@@ -432,7 +432,7 @@
         """
         exchange, request.exchange = request.exchange, None
         if exchange is not None:
-            event(log, "failed", request=request.client_id, why="deadline reached, client closing or process exiting")
+            event(log, "failed", request=request.request_id, why="deadline reached, client closing or process exiting")
             exchange.abort() if request.streamed else exchange.failed()
             self._queue_event(self._module.on_client_disconnected, None, request.rid)
         self._end_request(request)
@@ -473,7 +473,7 @@
         spent = max(1, (attempt.response_started_at or now_ns()) - attempt.started_at
                     - (self._total_stall_ns() - attempt.stall_before_ns))
         if outcome is not Outcome.OK:
-            event(log, "attempt_ended", request=request.client_id, attempt=attempt.number, host=attempt.host,
+            event(log, "attempt_ended", request=request.request_id, attempt=attempt.number, host=attempt.host,
                   outcome=outcome.name, spent_ns=spent)
         self._queue_event(self._module.on_outcome, request, request.rid, attempt.number, attempt.host, outcome,
                           spent, request_ended, load)
@@ -503,7 +503,8 @@
         attempt.stall_before_ns = self._total_stall_ns()
         request.in_flight[number] = attempt
         if number:
-            event(log, "retry", request=request.client_id, attempt=number, host=host, timeout_ns=expires_at - self._now)
+            event(log, "retry", request=request.request_id, attempt=number, host=host,
+                  timeout_ns=expires_at - self._now)
         if self._client_may_have_left(request) or request.client_half_closed or number >= request.max_attempts \
                 or (request.body is not None and request.body.committed):
             attempt.end(Outcome.MOOT)   # never after the response, nor for a client that may have gone
@@ -522,7 +523,7 @@
         """Final response: failed."""
         request = self._requests.get(rid)
         if request is not None and request.exchange is not None and not request.streamed:
-            event(log, "failed", request=request.client_id, attempts=request.attempts, why="decided")
+            event(log, "failed", request=request.request_id, attempts=request.attempts, why="decided")
             exchange, request.exchange = request.exchange, None
             exchange.failed()
             self._end_request(request)
@@ -531,7 +532,7 @@
         """Final response: refused, with a Retry-After header if `retry_after_ns` is not 0."""
         request = self._requests.get(rid)
         if request is not None and request.exchange is not None and not request.streamed:
-            event(log, "refused", request=request.client_id, attempts=request.attempts, why="decided")
+            event(log, "refused", request=request.request_id, attempts=request.attempts, why="decided")
             exchange, request.exchange = request.exchange, None
             exchange.refused(retry_after_ns)
             self._end_request(request)
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -65,11 +65,11 @@
 class Host:
     """A host as last announced by discovery, and the idle connections to it, newest last."""
 
-    __slots__ = ("address", "idle", "incarnation", "ready", "started")
+    __slots__ = ("address", "idle", "incarnation", "ready", "started_ns")
 
     def __init__(self) -> None:
         self.address = ("", 0)
-        self.started = 0
+        self.started_ns = 0
         self.ready = False
         self.incarnation = 0
         self.idle: list[Connection] = []
@@ -483,19 +483,19 @@
             for host_id in [known_id for known_id in self._hosts if known_id not in seen]:
                 self._update_host(host_id, self._hosts[host_id].address, 0, HostState.GONE)
 
-    def _update_host(self, host_id: HostId, address: tuple[str, int], started: int, state: HostState) -> None:
+    def _update_host(self, host_id: HostId, address: tuple[str, int], started_ns: int, state: HostState) -> None:
         host = self._hosts.setdefault(host_id, Host())
         ready = state is HostState.READY
-        if ready is not host.ready or started != host.started:
-            event(log, "host_state", host=host_id, state=state.name, at=address[1], started=started)
+        if ready is not host.ready or started_ns != host.started_ns:
+            event(log, "host_state", host=host_id, state=state.name, at=address[1], started=started_ns)
         host.ready = ready
         if state is HostState.GONE:
             host.incarnation += 1
             del self._hosts[host_id]
-        elif address != host.address or (started and started != host.started):
+        elif address != host.address or (started_ns and started_ns != host.started_ns):
             # The host has restarted: its old connections are dead, which would show only when they are used.
             host.incarnation += 1
-            host.address, host.started = address, started
+            host.address, host.started_ns = address, started_ns
         if host.idle and (not host.ready or host.idle[0].incarnation != host.incarnation):
             self._drop_idle(host)
 
