--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -1,6 +1,4 @@
-"""Discovery: the watch that is kept, the whole list, and when to call again; how long all may take:
-discovery_timeouts.py.
-"""
+"""The client of discovery: keeps a watch open, requests full lists and schedules calls (see discovery_timeouts.py)."""
 
 from __future__ import annotations
 
@@ -22,26 +20,26 @@
     UpToDate,
 )
 
-from .discovery_calls import DiscoveryCall, Try
+from .discovery_calls import ConnectAttempt, DiscoveryCall
 from .discovery_timeouts import (
-    APART,
-    BACKOFF_FIRST,
-    FIRST_CALL,
+    BACKUP_CALL_DELAY_NS,
     HEARTBEAT_INTERVAL_NS,
     HEARTBEAT_TOLERANCE_NS,
     IMMEDIATE_FAILURE_NS,
+    IMMEDIATE_RESET_NS,
+    INITIAL_BACKOFF_NS,
+    MAX_CONCURRENT_CONNECTS,
+    MAX_SHORT_BACKOFFS,
     OVERLOAD_BACKOFF_NS,
-    QUICK_RESTS,
-    RESET_AT_ONCE,
-    SECOND_CALL,
-    SECOND_CALL_PUSHED,
-    TRIES,
-    TURN,
-    UNSURE,
+    POST_STALL_HOLD_NS,
+    PUSHED_BACKUP_CALL_DELAY_NS,
+    QUEUE_ALLOWANCE_NS,
+    RECONNECT_JITTER_NS,
+    START_JITTER_NS,
     WATCH_RENEWAL_NS,
     WATCH_SILENCE_TIMEOUT_NS,
-    cut_short_after,
-    try_again_after,
+    connect_retry_delay,
+    truncation_timeout,
 )
 from .events import event
 from .reachability import Reachability
@@ -54,71 +52,73 @@
 
 
 class Discovery:
-    """Keeps the watch that was asked for once, and tells what comes of it.
+    """Keeps a watch open once it was requested, and passes on the lists that it receives.
 
-    The module chooses when to ask first; where lists are pushed it asks for nothing.  From then on a watch that ends is
-    begun anew from here: the time until a change is heard has this one owner.
+    The decision module chooses when to request the first watch; in push mode it requests none.  From then on a watch
+    that ends is reopened here, so that only this class determines how soon a change is received.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, address: tuple[str, int],
-                 lines: UpdateParser, pushed: bool,
-                 tell: Callable[[ListKind, list[ListedHost]], None], grace_ns: int = 0, started_ns: int = 0) -> None:
+                 parser: UpdateParser, pushed: bool,
+                 on_list: Callable[[ListKind, list[ListedHost]], None], grace_ns: int = 0, started_ns: int = 0) -> None:
         self._loop = loop
-        self._grace_ns = grace_ns   # in which a change has to be followed
+        self._grace_ns = grace_ns   # the drain grace, within which a change has to be followed
         self.lease = ListLease(started_ns or now_ns(), pushed, grace_ns)
-        self._reach = Reachability()
+        self._reachability = Reachability()
         self.gateway_count = 1   # gateways that may start at the same time
-        self.on_lease_changed: Callable[[], None] = lambda: None   # told whenever the lease may be valid again
-        self.read_delay_ns: Callable[[int], int] = lambda now: 0   # how long what is read now may have waited, ns
+        self.on_lease_changed: Callable[[], None] = lambda: None   # called whenever the lease may be valid again
+        self.read_delay_ns: Callable[[int], int] = lambda now: 0   # how long data that is read now may have waited
         self._timers = timers
         self._address = address
-        self._lines = lines
+        self._parser = parser
         self._pushed = pushed
-        self._tell = tell
+        self._on_list = on_list
         self._closed = False
-        self._wanted = False
-        self.last_received_ns = 0        # when discovery last said anything; 0: not yet
-        self._list_at = 0        # the same for lists
-        self._rests_until = 0    # 0: the watch does not rest
-        self._reloaded_at = 0    # the last SIGHUP
-        self._unsure_until = 0   # after a hold-up, where a change may count as told that can't be known
+        self._watch_wanted = False
+        self.last_received_ns = 0    # when data was last received from discovery; 0: never
+        self._last_list_at = 0       # when the last list was accepted; 0: never
+        self._backoff_until = 0      # 0: no backoff before the next watch
+        self._reloaded_at = 0        # the last SIGHUP
+        self._hold_until = 0         # after an event-loop stall in push mode, in which a change may have been missed
         self._watch: DiscoveryCall | None = None
-        self._backup_watch: DiscoveryCall | None = None   # beside a watch whose call is not answered
+        self._backup_watch: DiscoveryCall | None = None   # concurrent with a watch that receives no response
         self._list_call: DiscoveryCall | None = None
-        self._pause = BACKOFF_FIRST
-        self._cuts = 0           # objects in a row that were cut short
+        self._backoff_ns = INITIAL_BACKOFF_NS
+        self._truncations = 0        # truncated updates in a row
         self._out_of_order = False
-        self._spoilt = 0         # calls in a row that were answered with what can't be used
+        self._unusable_responses = 0   # in a row
         self.authority = f"{address[0]}:{address[1]}"
         self.generation = 0
 
     @property
     def resume_generation(self) -> int:
-        """The version that a watch goes on from; 0 asks for the whole list."""
+        """The version from which a watch resumes; 0 requests the full list."""
         return 0 if self._out_of_order else self.generation
 
     def load_known_list(self, listed: Any) -> None:
-        """The list that the configuration brings."""
+        """Loads the configured list."""
         try:
-            self.generation, _, entries = self._lines.parse(listed)
+            self.generation, _, entries = self._parser.parse(listed)
         except MalformedUpdate as error:
-            log.warning("the known list is broken: %s", error)
+            log.warning("the configured list is malformed: %s", error)
             entries = []
         event(log, "known_list", generation=self.generation, entries=len(entries))
-        self._tell(ListKind.CACHED, entries)
+        self._on_list(ListKind.CACHED, entries)
 
     def start(self) -> None:
-        """The watch begins by itself: at once where lists are pushed, else a little apart from other gateways' ones.
+        """Opens the first watch: at once in push mode, else after a jitter that spreads the calls of all gateways.
 
-        The module might wait for some seconds more, and the list of the start is followed for some seconds only.
+        Does not wait for the decision module, which might request a watch only seconds later, while the list of the
+        start may be followed for some seconds only.
         """
         if self._pushed:
             self.watch(True)
         else:
-            self._timers.after(int(random.random() * self.gateway_count * FIRST_CALL), lambda _: self.watch(True), None)
+            self._timers.after(int(random.random() * self.gateway_count * START_JITTER_NS),
+                               lambda _: self.watch(True), None)
 
     def close(self) -> None:
-        """End everything; the program is over."""
+        """Ends all calls at shutdown."""
         self._closed = True
         self.watch(False)
         if self._list_call is not None:
@@ -126,77 +126,78 @@
 
     @property
     def down(self) -> bool:
-        """Whether discovery can't be reached, as calls have shown."""
-        return self._reach.down
+        """Whether calls have shown that discovery is unreachable."""
+        return self._reachability.down
 
-    # ---- What is known now -------------------------------------------------------------------------------
+    # ---- The lease ---------------------------------------------------------------------------------------
 
     def read_pending(self, now: int) -> None:
-        """Read what discovery has written before anything is decided: the loop may get to it later.
+        """Reads what discovery has written before a decision is made, as the event loop may only get to it later.
 
-        Guards against clients and timers that are handled first after a hold-up.
+        Otherwise clients and timers might be handled first after a stall.
         """
         for call in (self._watch, self._backup_watch, self._list_call):
             if call is not None:
-                call.read_waiting()
-
-    def on_stall(self, held_ns: int) -> None:
-        """The loop stood still for so long: where lists are pushed a watch that ended meanwhile has missed changes."""
-        if self._pushed and held_ns > self._grace_ns // 2:
-            self._unsure_until = now_ns() + UNSURE
-            self._timers.at(self._unsure_until, self._lease_renewed, None)
-        if held_ns > MAX_UPDATE_DELAY_NS and self._watch is not None and self._watch.first_list_ns \
+                call.read_pending()
+
+    def on_stall(self, stall_ns: int) -> None:
+        """Handles an event-loop stall: in push mode, a watch that ended during it has missed changes."""
+        if self._pushed and stall_ns > self._grace_ns // 2:
+            self._hold_until = now_ns() + POST_STALL_HOLD_NS
+            self._timers.at(self._hold_until, self._notify_lease_changed, None)
+        if stall_ns > MAX_UPDATE_DELAY_NS and self._watch is not None and self._watch.first_list_ns \
                 and self._backup_watch is None:
-            self._call_beside(self._watch)   # what it says next may be 2 s away, and of 3 s before
+            # The next data on the watch may be 2 s away, and proves only what discovery had 3 s before it.
+            self._open_backup_watch(self._watch)
 
     def may_send(self, now: int) -> bool:
-        """Whether requests may go out by the list: no change that is not heard may count as told, its grace over."""
+        """Whether requests may be sent by the list: no change that was not received can be past its drain grace."""
         return now <= self.lease.until_ns and not self._may_have_missed_end(now)
 
     def _may_have_missed_end(self, now: int) -> bool:
-        """Whether the watch may have ended in a hold-up, and its end not be read yet."""
-        if now >= self._unsure_until:
+        """Whether the watch may have ended during an event-loop stall without its end having been read yet."""
+        if now >= self._hold_until:
             return False
         watch = self._watch
-        if (watch is not None and watch.first_list_ns and watch.transport is not None
-                and not pending_events(watch.transport)):
-            self._unsure_until = 0   # it is open, and all that was written to it is read
-        return now < self._unsure_until
+        if watch is not None and watch.first_list_ns and watch.transport is not None \
+                and not pending_events(watch.transport):
+            self._hold_until = 0   # the watch is open, and all that was written to it has been read
+        return now < self._hold_until
 
-    def _lease_renewed(self, _: None = None) -> None:
+    def _notify_lease_changed(self, _: None = None) -> None:
         self.on_lease_changed()
 
-    def word(self, call: DiscoveryCall) -> None:
-        """A watch speaks: it was not silent, but what is read now may be of the start of a hold-up."""
+    def on_watch_data(self, call: DiscoveryCall) -> None:
+        """Extends the lease, as the watch is not silent; the data may be as old as the start of a stall."""
         now = now_ns()
-        self._extend(self._told_by_line(now - self.read_delay_ns(now)))
+        self._extend_lease(self._proof_by_update(now - self.read_delay_ns(now)))
         if call is self._watch and self._backup_watch is not None and not self._backup_watch.first_list_ns \
-                and self._is_enough(now):
-            self._backup_watch.close()   # begun beside a watch that was only late
+                and self._keeps_lease(now):
+            self._backup_watch.close()   # the watch was only late
             self._backup_watch = None
-        self._lease_renewed()
+        self._notify_lease_changed()
 
-    def _is_enough(self, now: int) -> bool:
-        """Whether what the watch has said keeps the lease, and no other call is needed for that."""
+    def _keeps_lease(self, now: int) -> bool:
+        """Whether the data of the watch keeps the lease valid, so that no other call is needed."""
         return self.may_send(now) and not self.lease.needs_list(now)
 
-    def _missed(self, at: int) -> None:
-        """Discovery could not be reached by a call or a try of this time."""
-        if self._reach.record_failure(self._address):
-            self._extend(Unreachable(at))
-            self._lease_renewed()
+    def _record_failure(self, at: int) -> None:
+        """Records that a call or connection attempt of this time could not reach discovery."""
+        if self._reachability.record_failure(self._address):
+            self._extend_lease(Unreachable(at))
+            self._notify_lease_changed()
 
-    def _reached(self, at: int) -> None:
-        """Discovery was there at this time: a call that was answered came up then, or a watch told a list."""
-        self._reach.record_success()
+    def _record_success(self, at: int) -> None:
+        """Records that discovery was up at this time: a call connected then that got a response, or a list arrived."""
+        self._reachability.record_success()
         self.lease.on_discovery_reached(at)
 
-    def _told_by_line(self, at: int) -> UpToDate:
-        """What a line of a watch proves, empty or not: that of a change may wait for its turn behind it."""
+    def _proof_by_update(self, at: int) -> UpToDate:
+        """Returns what data on a watch proves, whether empty or not: an update of a change may be queued behind it."""
         return UpToDate(at if self._pushed else at - MAX_UPDATE_DELAY_NS)
 
-    def _extend(self, proof: Proof) -> None:
-        """The lease becomes longer by this proof, if it is one of what is not known yet."""
+    def _extend_lease(self, proof: Proof) -> None:
+        """Extends the lease by this proof; logs it if the lease ends later."""
         before = self.lease.until_ns
         self.lease.extend(proof)
         until = self.lease.until_ns
@@ -205,7 +206,7 @@
             event(log, "lease_extended", proof=type(proof).__name__, of_ago_ns=now - proof.at_ns, left_ns=until - now)
 
     def update_settings(self, pushed: bool, grace_ns: int) -> None:
-        """New settings."""
+        """Applies new settings."""
         self._pushed = pushed
         self._grace_ns = grace_ns
         self.lease.on_settings(pushed, grace_ns)
@@ -213,335 +214,344 @@
     # ---- Calls -------------------------------------------------------------------------------------------
 
     def watch(self, active: bool) -> None:
-        """Subscribe, or no longer.  One watch at a time: a second call would cost lines and tell nothing."""
-        self._wanted = active and not self._closed   # a timer of the start may still ring
-        if self._wanted and self._watch is None and not self._rests_until:
-            self._watch = self._call(True)
+        """Opens or closes the watch.  There is only one at a time, as a second one would only repeat its updates."""
+        self._watch_wanted = active and not self._closed   # the timer of the start may still fire after `close`
+        if self._watch_wanted and self._watch is None and not self._backoff_until:
+            self._watch = self._start_call(True)
         elif not active:
             for call in (self._watch, self._backup_watch):
                 if call is not None:
                     call.close()
-            self._lost(self._watch, now_ns())
+            self._on_watch_lost(self._watch, now_ns())
             self._watch = self._backup_watch = None
 
     def fetch(self) -> None:
-        """The whole list, once."""
+        """Requests the full list once."""
         if self._list_call is None:
-            self._list_call = self._call(False)
+            self._list_call = self._start_call(False)
 
-    def _watch_after(self, rest_ns: int) -> None:
-        self._rests_until = now_ns() + rest_ns
-        self._timers.at(self._rests_until, self._rested, self._rests_until)
+    def _watch_after(self, delay_ns: int) -> None:
+        self._backoff_until = now_ns() + delay_ns
+        self._timers.at(self._backoff_until, self._on_backoff_end, self._backoff_until)
 
-    def _rested(self, until: int) -> None:
-        if until == self._rests_until:   # else it ended before its time, as discovery has moved
-            self._rests_until = 0
-            if self._wanted:
+    def _on_backoff_end(self, until: int) -> None:
+        if until == self._backoff_until:   # else the backoff was ended early, as the address has changed
+            self._backoff_until = 0
+            if self._watch_wanted:
                 self.watch(True)
 
     def on_reload(self) -> None:
-        """SIGHUP has come, if only as a stop began: what discovery has counts so long after it, whatever the file says.
+        """Handles SIGHUP, which may have arrived as early as the start of a stall: the reload bound counts from it.
 
-        Told apart from `move`, which comes once the file could be read, and not at all where it is turned down.
+        The bound does not depend on the file.  `reconfigure` is separate, as it is called only once the file has been
+        read, and never if the file is rejected.
         """
         now = now_ns()
         self._reloaded_at = now - self.read_delay_ns(now)
         self.lease.on_reload(self._reloaded_at, now)
-        self._timers.at(now + RELOAD_PROPAGATION_BOUND_NS, self._hear_list, None)
-        self._timers.at(self._reloaded_at + RELOAD_PROPAGATION_BOUND_NS, self._hear_list, None)
+        self._timers.at(now + RELOAD_PROPAGATION_BOUND_NS, self._request_needed_list, None)
+        self._timers.at(self._reloaded_at + RELOAD_PROPAGATION_BOUND_NS, self._request_needed_list, None)
 
-    def reconfigure(self, address: tuple[str, int], lines: UpdateParser, pushed: bool,
-             others: Sequence[tuple[str, int]] = ()) -> None:
-        """SIGHUP: discovery may be elsewhere now; its calls end there and begin here, a watch at once, from the start.
+    def reconfigure(self, address: tuple[str, int], parser: UpdateParser, pushed: bool,
+                    others: Sequence[tuple[str, int]] = ()) -> None:
+        """Applies a new address after SIGHUP: calls are restarted there, the watch at once and from the full list.
 
-        The module is told nothing: it would wait before it asks again, and versions may be counted anew.
-        So it is where zones or kinds have other numbers: the whole list is wanted in the new ones.
+        The decision module is not notified, as it would wait before it requests a watch again.  Versions may be counted
+        from the start at the new address.  If zones or machine types have other indices, the full list is needed too.
         """
         self._pushed = pushed
-        self._pause = BACKOFF_FIRST
-        if address == self._address and lines.names == self._lines.names:
-            self._hear_anew()
+        self._backoff_ns = INITIAL_BACKOFF_NS
+        if address == self._address and parser.names == self._parser.names:
+            self._refresh_watch()
             return
-        self._lines = lines
+        self._parser = parser
         self._address = address
-        self._reach.record_success()
+        self._reachability.record_success()
         self.authority = f"{address[0]}:{address[1]}"
         self.generation = 0
-        self._begin_anew()
+        self._restart_watch()
         if self._list_call is not None:
             self._list_call.close()
-            self._list_call = self._call(False)
+            self._list_call = self._start_call(False)
 
-    def _begin_anew(self) -> None:
-        self._rests_until = 0
+    def _restart_watch(self) -> None:
+        self._backoff_until = 0
         self.watch(False)
         self.watch(True)
 
-    def _hear_anew(self) -> None:
-        """SIGHUP left discovery where it is: what it has counts as told 4 s on, whatever the watch was doing."""
+    def _refresh_watch(self) -> None:
+        """Handles SIGHUP with an unchanged address: changes take effect 4 s later, whatever the state of the watch."""
         watch = self._watch
         if watch is None:
-            if self._wanted:
-                self._begin_anew()
-        elif not watch.heard:
-            self._timers.after(SECOND_CALL, self._call_again, watch)
+            if self._watch_wanted:
+                self._restart_watch()
+        elif not watch.received_at:
+            self._timers.after(BACKUP_CALL_DELAY_NS, self._back_up_if_unanswered, watch)
         else:
-            self._timers.after(HEARTBEAT_INTERVAL_NS + HEARTBEAT_TOLERANCE_NS, self._look_since_reload,
+            self._timers.after(HEARTBEAT_INTERVAL_NS + HEARTBEAT_TOLERANCE_NS, self._check_watch_since_reload,
                                (watch, self._reloaded_at))
 
-    def _look_since_reload(self, about: tuple[DiscoveryCall, int]) -> None:
-        watch, since = about
-        watch.read_waiting()
-        if not watch.closed and watch.heard < since:
-            self.fell_silent(watch)
+    def _check_watch_since_reload(self, state: tuple[DiscoveryCall, int]) -> None:
+        watch, reloaded_at = state
+        watch.read_pending()
+        if not watch.closed and watch.received_at < reloaded_at:
+            self.replace_silent_watch(watch)
 
-    def _hear_list(self, _: None) -> None:
-        """What discovery has counts now: a list of this moment is wanted, and the watch's word may be 2 s away."""
+    def _request_needed_list(self, _: None) -> None:
+        """Requests a list if the lease needs a current one; the next data on the watch may be 2 s away."""
         self.read_pending(now_ns())
-        if not self.lease.needs_list(now_ns()) or not self._wanted:
+        if not self.lease.needs_list(now_ns()) or not self._watch_wanted:
             return
         if self._watch is None:
-            self._begin_anew()
+            self._restart_watch()
         elif self._watch.first_list_ns and self._backup_watch is None:
-            self._call_beside(self._watch)
+            self._open_backup_watch(self._watch)
 
-    def _call_beside(self, watch: DiscoveryCall) -> None:
-        """Another watch beside one that does not speak: the first to do so stays."""
-        event(log, "renew_beside", silent_ns=now_ns() - watch.heard)
-        self._backup_watch = self._call(True)
+    def _open_backup_watch(self, watch: DiscoveryCall) -> None:
+        """Opens another watch concurrently with a silent one; the first to receive data is kept."""
+        event(log, "renew_beside", silent_ns=now_ns() - watch.received_at)
+        self._backup_watch = self._start_call(True)
 
-    def _call(self, watch: bool) -> DiscoveryCall:
+    def _start_call(self, watch: bool) -> DiscoveryCall:
         event(log, "discovery_call", watch=watch, at=self.authority, since=self.resume_generation)
         call = DiscoveryCall(self, watch)
-        self._try(call)
-        self._timers.at(call.due(), self._look, call)
+        self._try_connect(call)
+        self._timers.at(call.timeout_at(), self._check_timeout, call)
         return call
 
-    def _try(self, call: DiscoveryCall) -> None:
-        """Connect, and once more beside it where that does not come up soon."""
+    def _try_connect(self, call: DiscoveryCall) -> None:
+        """Starts a connection attempt, and schedules a concurrent one in case it does not succeed soon."""
         if call.closed or call.transport is not None:
             return
-        if len(call.tries) >= TRIES:
-            _, second, *_ = call.tries   # the first one stays: it may only be slow
-            call.tries.pop(second).cancel()
+        if len(call.connect_tasks) >= MAX_CONCURRENT_CONNECTS:
+            _, second, *_ = call.connect_tasks   # the first attempt is kept, as it may only be slow
+            call.connect_tasks.pop(second).cancel()
         now = now_ns()
-        if call.tries and (now - call.tried_at
-                           < try_again_after(self._pushed, self._grace_ns, call.tried) + LATE_TIMER_NS):
-            self._missed(call.tried_at)   # but for a timer that rings late: it may be up, and the loop not there yet
-        call.tried_at = now
-        call.tried += 1
-        call.tries[call.tried] = self._loop.create_task(self._connect(call, call.tried))
-        self._timers.after(try_again_after(self._pushed, self._grace_ns, call.tried), self._try, call)
+        if call.connect_tasks and now - call.last_connect_at < \
+                connect_retry_delay(self._pushed, self._grace_ns, call.connect_count) + LATE_TIMER_NS:
+            # Not if the timer is late: the connection may be established without the event loop having seen it.
+            self._record_failure(call.last_connect_at)
+        call.last_connect_at = now
+        call.connect_count += 1
+        call.connect_tasks[call.connect_count] = self._loop.create_task(self._connect(call, call.connect_count))
+        self._timers.after(connect_retry_delay(self._pushed, self._grace_ns, call.connect_count),
+                           self._try_connect, call)
 
     async def _connect(self, call: DiscoveryCall, number: int) -> None:
         try:
-            await self._loop.create_connection(lambda: Try(call), *self._address)
+            await self._loop.create_connection(lambda: ConnectAttempt(call), *self._address)
         except OSError as error:
-            call.tries.pop(number, None)
-            call.own_trouble = error.errno in LOCAL_ERRNOS
-            if not call.own_trouble and call.transport is None and not call.closed:
+            call.connect_tasks.pop(number, None)
+            call.local_error = error.errno in LOCAL_ERRNOS
+            if not call.local_error and call.transport is None and not call.closed:
                 now = now_ns()
-                self._missed(now - self.read_delay_ns(now))   # its refusal may have lain unread as long
-            if not call.tries and call.transport is None:
-                self.ended(call, f"no connection: {error}")
+                self._record_failure(now - self.read_delay_ns(now))   # the refusal may have waited unread that long
+            if not call.connect_tasks and call.transport is None:
+                self.end_call(call, f"no connection: {error}")
         except asyncio.CancelledError:
             pass
 
-    def connected(self, call: DiscoveryCall) -> None:
-        """Its connection is up: what is lost from here on shows by no answer only."""
+    def on_connected(self, call: DiscoveryCall) -> None:
+        """Schedules a backup call: once connected, a lost call can be recognized only by a missing response."""
         if call is self._backup_watch or call is self._list_call:
             return
         if self._pushed:
-            self._timers.after(SECOND_CALL_PUSHED, self._call_again, call)
+            self._timers.after(PUSHED_BACKUP_CALL_DELAY_NS, self._back_up_if_unanswered, call)
         elif now_ns() - self._reloaded_at < RELOAD_PROPAGATION_BOUND_NS:
-            self._timers.after(SECOND_CALL, self._call_again, call)
+            self._timers.after(BACKUP_CALL_DELAY_NS, self._back_up_if_unanswered, call)
 
-    def _call_again(self, call: DiscoveryCall) -> None:
-        """A call that is not answered gets a second one beside it, once; it keeps its turn."""
-        if call is self._watch and not call.closed and not call.heard and call.transport is not None \
+    def _back_up_if_unanswered(self, call: DiscoveryCall) -> None:
+        """Opens a backup watch, once, if a call has no response; the call stays open and keeps its place in the queue.
+        """
+        if call is self._watch and not call.closed and not call.received_at and call.transport is not None \
                 and self._backup_watch is None:
-            call.read_waiting()
-            if not call.closed and not call.heard:
-                self._backup_watch = self._call(True)
+            call.read_pending()
+            if not call.closed and not call.received_at:
+                self._backup_watch = self._start_call(True)
 
-    def _look(self, call: DiscoveryCall) -> None:
-        """Give up a call that has gone silent, in the moment in which it has; what waits unread is no silence."""
+    def _check_timeout(self, call: DiscoveryCall) -> None:
+        """Abandons a call as soon as it counts as silent; unread data is read first."""
         if call.closed:
             return
-        call.read_waiting()
+        call.read_pending()
         if call.closed:
             return
         now = now_ns()
-        if now < call.due():
-            self._renew(call, now)
-            self._timers.at(call.renew_at if now < call.renew_at else call.due(), self._look, call)
+        if now < call.timeout_at():
+            self._renew_watch(call, now)
+            self._timers.at(call.renew_at if now < call.renew_at else call.timeout_at(), self._check_timeout, call)
         elif call.first_list_ns:
-            self.fell_silent(call)
+            self.replace_silent_watch(call)
         else:
-            self.ended(call, "silent")
+            self.end_call(call, "silent")
 
-    def _renew(self, call: DiscoveryCall, now: int) -> None:
-        """Begin another watch beside one that is silent for longer than it should be, in time for the lease."""
+    def _renew_watch(self, call: DiscoveryCall, now: int) -> None:
+        """Opens a backup watch, early enough for the lease, if the watch has been silent beyond its heartbeat."""
         if not call.first_list_ns or call is not self._watch:
             return
-        if call.renew_at < call.heard + WATCH_RENEWAL_NS:   # it has spoken since
-            call.renew_at = call.heard + WATCH_RENEWAL_NS + int(random.random() * APART)
+        if call.renew_at < call.received_at + WATCH_RENEWAL_NS:   # data has been received since
+            call.renew_at = call.received_at + WATCH_RENEWAL_NS + int(random.random() * RECONNECT_JITTER_NS)
         elif now >= call.renew_at and self._backup_watch is None:
-            self._call_beside(call)
+            self._open_backup_watch(call)
 
-    def fell_silent(self, call: DiscoveryCall) -> None:
-        """A watch that told something and tells no more is begun anew at once, whoever asked for it.
+    def replace_silent_watch(self, call: DiscoveryCall) -> None:
+        """Reopens a watch that has fallen silent after its list, after a jitter and whoever requested it.
 
-        What it misses counts as told 6 s after it fell silent: there is no time for the pause of a call that failed.
+        Changes that it misses take effect 6 s after it fell silent, which leaves no time for the backoff of a failed
+        call.
         """
-        log.info("discovery: the watch has fallen silent")
-        event(log, "call_ended", why="silent", heard_ago_ns=now_ns() - call.heard)
-        self._lost(call, now_ns(), call.heard)
+        log.info("discovery: the watch is silent")
+        event(log, "call_ended", why="silent", heard_ago_ns=now_ns() - call.received_at)
+        self._on_watch_lost(call, now_ns(), call.received_at)
         call.close()
-        if self._replaced(call):
+        if self._promote_backup(call):
             return
         self._watch = None
-        self._watch_after(int(random.random() * APART))
+        self._watch_after(int(random.random() * RECONNECT_JITTER_NS))
 
-    # ---- What comes --------------------------------------------------------------------------------------
+    # ---- Results of calls --------------------------------------------------------------------------------
 
     def on_update(self, call: DiscoveryCall, text: bytes) -> None:
-        """A list or its changes have come."""
+        """Handles a list or its changes."""
         try:
-            told = json.loads(text)
-            change = self._lines.read(told, self._list_at)
+            content = json.loads(text)
+            update = self._parser.read(content, self._last_list_at)
         except (MalformedUpdate, ValueError, RecursionError) as error:
-            self.broken(call, error)
+            self.on_malformed(call, error)
             return
         if call is self._list_call:
-            change = change._replace(is_full=True)
-        if self._is_older(call, change):
+            update = update._replace(is_full=True)
+        if self._reject_outdated(call, update):
             return
-        if why := self._doubt(told, change):
-            self.ended(call, why)
+        if why := self._rejection_reason(content, update):
+            self.end_call(call, why)
             return
-        self._lines.accept(change)
-        self.generation = change.generation
-        self._pause = BACKOFF_FIRST
-        self._cuts = 0
+        self._parser.accept(update)
+        self.generation = update.generation
+        self._backoff_ns = INITIAL_BACKOFF_NS
+        self._truncations = 0
         self._out_of_order = False
-        self._spoilt = 0
-        self._list_at = now_ns()
-        lay_unread = self.read_delay_ns(self._list_at)
-        self._prove(call, self._list_at - lay_unread)
-        call.first_list_ns = call.first_list_ns or self._list_at
-        if not lay_unread:   # else the end of its watch may lie behind it
-            self._unsure_until = 0
-        self._choose(call)
-        event(log, "list", generation=change.generation, whole=change.is_full, entries=len(change.hosts))
-        self._tell(ListKind.FULL if change.is_full else ListKind.DELTA, change.hosts)
-
-    def _prove(self, call: DiscoveryCall, at: int) -> None:
-        """A list of this time has been taken: the answer to a call has all of then, a later line what came by its turn.
+        self._unusable_responses = 0
+        self._last_list_at = now_ns()
+        delay_ns = self.read_delay_ns(self._last_list_at)
+        self._prove_list(call, self._last_list_at - delay_ns)
+        call.first_list_ns = call.first_list_ns or self._last_list_at
+        if not delay_ns:   # else the end of its watch may be unread behind it
+            self._hold_until = 0
+        self._choose_watch(call)
+        event(log, "list", generation=update.generation, whole=update.is_full, entries=len(update.hosts))
+        self._on_list(ListKind.FULL if update.is_full else ListKind.DELTA, update.hosts)
+
+    def _prove_list(self, call: DiscoveryCall, at: int) -> None:
+        """Extends the lease by a list that was accepted at this time.
+
+        The response to a call contains everything that discovery had then; a later update only what was due by its
+        place in the queue.
         """
         self.lease.on_list()
         if call.first_list_ns:
-            self._reached(at)
-            self._extend(self._told_by_line(at))
+            self._record_success(at)
+            self._extend_lease(self._proof_by_update(at))
             return
-        self._reached(call.connected_at)
+        self._record_success(call.connected_at)
         if call is not self._list_call:
             self.lease.on_watch_opened()
-        self._extend(UpToDate(at))
+        self._extend_lease(UpToDate(at))
 
-    def _choose(self, call: DiscoveryCall) -> None:
-        """Of two calls for the watch the first to tell a list is the watch."""
+    def _choose_watch(self, call: DiscoveryCall) -> None:
+        """Keeps the first of two concurrent watches that has received a list."""
         if call is self._backup_watch:
             self._watch, self._backup_watch = self._backup_watch, self._watch
         if call is self._watch and self._backup_watch is not None \
-                and (self._backup_watch.first_list_ns or self._is_enough(now_ns())):
+                and (self._backup_watch.first_list_ns or self._keeps_lease(now_ns())):
             self._backup_watch.close()
             self._backup_watch = None
 
-    def _is_older(self, call: DiscoveryCall, change: HostListUpdate) -> bool:
-        """Guards against a version that comes after a newer one: nothing of it is taken.
+    def _reject_outdated(self, call: DiscoveryCall, update: HostListUpdate) -> bool:
+        """Ends the call if its update is older than the current list; returns whether it did.
 
-        A whole list that was asked for before the newer one came is simply late.  On a watch versions only rise: what
-        is out of order may also have been left out, so the whole list is asked for.  One that begins with a whole list
-        speaks for a service whose versions are counted anew.
+        A full list that was requested before the newer one arrived is simply late.  On a watch versions only increase:
+        an update that is out of order may also mean that one was left out, so the full list is requested.  A watch that
+        begins with a full list belongs to a service whose versions are counted from the start again.
         """
-        if change.generation >= self.generation:
+        if update.generation >= self.generation:
             return False
-        if change.is_full and call is not self._list_call and not call.first_list_ns \
-                and self._list_at <= call.connected_at:
+        if update.is_full and call is not self._list_call and not call.first_list_ns \
+                and self._last_list_at <= call.connected_at:
             return False
-        event(log, "older_list", generation=change.generation, known=self.generation)
+        event(log, "older_list", generation=update.generation, known=self.generation)
         if call is self._list_call:
-            self.ended(call, "an older list than is known", failed=False)
+            self.end_call(call, "the list is older than the current one", failed=False)
         else:
             self._out_of_order = True
-            self.ended(call, f"version {change.generation} after a newer one")
+            self.end_call(call, f"version {update.generation} after a newer one")
         return True
 
-    def _doubt(self, told: dict[str, Any], change: HostListUpdate) -> str:
-        """Why a list is not taken; one service alone is believed."""
+    def _rejection_reason(self, content: dict[str, Any], update: HostListUpdate) -> str:
+        """Returns why a list is rejected; empty: it is accepted, as always with a single service."""
         return ""
 
-    def broken(self, call: DiscoveryCall, error: Exception) -> None:
-        """Guards against a lost change: the call is given up and begun anew from the last good version."""
-        log.warning("broken line dropped: %s", error)
+    def on_malformed(self, call: DiscoveryCall, error: Exception) -> None:
+        """Ends the call, so that no change is lost: the next one resumes from the last accepted version."""
+        log.warning("malformed update dropped: %s", error)
         self.lease.on_unparsable_update(now_ns())
-        self.ended(call, "a broken line")
-
-    def cut_short(self, call: DiscoveryCall) -> None:
-        """An object has begun and is not whole: what was cut short shows only by nothing coming any more."""
-        self.lease.on_unparsable_update(call.heard)
-        patience = cut_short_after(self._pushed, self._grace_ns, self._cuts)
-        self._timers.after(patience, self._cut_short, (call, call.heard))
-
-    def _cut_short(self, about: tuple[DiscoveryCall, int]) -> None:
-        call, heard = about
-        call.read_waiting()
-        if not call.closed and call.heard == heard:
-            self._cuts += 1
-            self.ended(call, "an object that was cut short")
-
-    def ended(self, call: DiscoveryCall, why: str, failed: bool = True) -> None:
-        """A call is over; told once, and only if it failed and none stands beside it."""
+        self.end_call(call, "malformed update")
+
+    def on_incomplete(self, call: DiscoveryCall) -> None:
+        """Schedules a check of an incomplete update: only silence shows that it was truncated."""
+        self.lease.on_unparsable_update(call.received_at)
+        timeout_ns = truncation_timeout(self._pushed, self._grace_ns, self._truncations)
+        self._timers.after(timeout_ns, self._check_truncated, (call, call.received_at))
+
+    def _check_truncated(self, state: tuple[DiscoveryCall, int]) -> None:
+        call, received_at = state
+        call.read_pending()
+        if not call.closed and call.received_at == received_at:
+            self._truncations += 1
+            self.end_call(call, "truncated update")
+
+    def end_call(self, call: DiscoveryCall, why: str, failed: bool = True) -> None:
+        """Ends a call; the decision module is notified once, and only of a failed call that has no backup."""
         if call.closed:
             return
         now = now_ns()
-        event(log, "call_ended", why=why, begun_ago_ns=now - call.begun, connected=call.transport is not None,
-              told=bool(call.first_list_ns), heard_ago_ns=now - call.heard if call.heard else 0)
+        event(log, "call_ended", why=why, begun_ago_ns=now - call.started_at, connected=call.transport is not None,
+              told=bool(call.first_list_ns), heard_ago_ns=now - call.received_at if call.received_at else 0)
         self._learn_from_end(call, now)
         call.close()
-        if not self._replaced(call):
-            self._over(call, why, failed)
+        if not self._promote_backup(call):
+            self._on_call_over(call, why, failed)
         elif self.lease.needs_list(now):
-            self._timers.after(self._rest(call), self._hear_list, None)
+            self._timers.after(self._backoff_delay(call), self._request_needed_list, None)
 
     def _learn_from_end(self, call: DiscoveryCall, now: int) -> None:
-        """What the end of a call tells of the lease, and of whether discovery is there."""
+        """Updates the lease and the reachability of discovery by the end of a call."""
         if call.first_list_ns:
-            at = now - self.read_delay_ns(now)   # its end may have lain unread as long
-            self._lost(call, at, call.heard if now - call.heard >= WATCH_SILENCE_TIMEOUT_NS else at)
+            at = now - self.read_delay_ns(now)   # the end of the watch may have waited unread that long
+            self._on_watch_lost(call, at,
+                                call.received_at if now - call.received_at >= WATCH_SILENCE_TIMEOUT_NS else at)
         elif call.transport is None:
-            if call.tries:   # those that have failed have told
-                self._missed(call.tried_at)
-        elif call.heard or now - call.connected_at >= IMMEDIATE_FAILURE_NS:
-            self._reach.record_success()
+            if call.connect_tasks:   # failed attempts have already been recorded
+                self._record_failure(call.last_connect_at)
+        elif call.received_at or now - call.connected_at >= IMMEDIATE_FAILURE_NS:
+            self._reachability.record_success()
             self.lease.on_call_unanswered(call.connected_at)
-        elif call.cut_off and not call.status and now - call.connected_at < RESET_AT_ONCE:
-            if not self.read_delay_ns(now):   # else it may have waited
-                self._missed(now)
+        elif call.was_disconnected and not call.status and now - call.connected_at < IMMEDIATE_RESET_NS:
+            if not self.read_delay_ns(now):   # else the call may have waited in the queue
+                self._record_failure(now)
         else:
-            self._reach.record_success()
-            if call.status:   # turned away at once: by a queue that is full, maybe
+            self._reachability.record_success()
+            if call.status:   # rejected at once, possibly by a full queue
                 self.lease.on_call_unanswered(call.connected_at)
-        self._lease_renewed()
+        self._notify_lease_changed()
 
-    def _lost(self, call: DiscoveryCall | None, at: int, spoke: int = 0) -> None:
-        """The watch ends; nothing is lost by the end of another call, or of one that has told no list."""
+    def _on_watch_lost(self, call: DiscoveryCall | None, at: int, last_data_at: int = 0) -> None:
+        """Reports the end of the watch to the lease, but not that of other calls or of a watch without a list."""
         if call is not None and call is self._watch and call.first_list_ns:
-            self.lease.on_watch_lost(at, spoke or at)
+            self.lease.on_watch_lost(at, last_data_at or at)
 
-    def _over(self, call: DiscoveryCall, why: str, failed: bool) -> None:
-        """Nothing goes on in its place."""
+    def _on_call_over(self, call: DiscoveryCall, why: str, failed: bool) -> None:
+        """Handles the end of a call that has no backup."""
         if call is self._list_call:
             self._list_call = None
         elif call is self._watch:
@@ -549,12 +559,12 @@
         if not failed:
             return
         log.info("discovery: %s", why)
-        self._tell(ListKind.FAILED, [])
-        if self._wanted and self._watch is None:
-            self._watch_after(self._rest(call))
+        self._on_list(ListKind.FAILED, [])
+        if self._watch_wanted and self._watch is None:
+            self._watch_after(self._backoff_delay(call))
 
-    def _replaced(self, call: DiscoveryCall) -> bool:
-        """Whether another call for the watch goes on."""
+    def _promote_backup(self, call: DiscoveryCall) -> bool:
+        """Continues with the other watch if one of two has ended; returns whether there was another."""
         if self._backup_watch is None or (call is not self._watch and call is not self._backup_watch):
             return False
         if call is self._watch:
@@ -562,33 +572,36 @@
         self._backup_watch = None
         return True
 
-    def _rest(self, call: DiscoveryCall) -> int:
-        """How long the watch rests after a call that has ended.
+    def _backoff_delay(self, call: DiscoveryCall) -> int:
+        """Returns the backoff delay after a call that has ended, ns.
+
+        The delay doubles with each failed call, as each adds load to a service that may be overloaded, up to what is
+        left of the propagation bound.  It is shorter in three cases:
 
-        It doubles with each call in vain, as each costs a service that has too many callers, up to what is left of
-        PROPAGATION_BOUND_NS.  A service that has told a list ends a watch rather than tell a change,
-        and the change counts: the rest is
-        a part of the time in which it has to be followed.  So it is where lists are pushed and the service is down,
-        which is asked nothing by that, as what it has counts as told whether a watch is open or not; one with too many
-        callers lets them wait before it turns them away.  And one whose answer is spoilt on the way is there to answer.
+        * The service has sent a list before.  It ends a watch rather than send a change late, and that change takes
+          effect: the delay is part of the time in which the change has to be followed.
+        * The service is down, in push mode.  Its changes take effect whether or not a watch is open, and calls add no
+          load to a service that is down; an overloaded one lets calls wait before it rejects them.
+        * The response was corrupted in transit: the service is able to respond.
         """
         now = now_ns()
-        if now < self._unsure_until or (self._reach.doubtful and not call.own_trouble):
+        if now < self._hold_until or (self._reachability.doubtful and not call.local_error):
             return 0
-        if self._pushed and call.transport is None and call.tried > 1:
-            return 0   # none has come up: another try asks nothing of the service
-        alive = call.first_list_ns and now - call.first_list_ns > SECOND
-        if call.heard and not call.first_list_ns and self._spoilt < QUICK_RESTS:
-            self._spoilt += 1
-            return int(min(BACKOFF_FIRST, self._grace_ns // 8) * (0.5 + random.random()))
-        waited = 0 if call.first_list_ns else now - call.begun
-        down = call.transport is None or (not call.heard and waited < IMMEDIATE_FAILURE_NS)
-        if self._grace_ns and (alive or (self._pushed and down)):
-            rest = min(BACKOFF_FIRST, self._grace_ns // 4)
+        if self._pushed and call.transport is None and call.connect_count > 1:
+            return 0   # no connection was established, so another attempt adds no load to the service
+        was_open = call.first_list_ns and now - call.first_list_ns > SECOND
+        if call.received_at and not call.first_list_ns and self._unusable_responses < MAX_SHORT_BACKOFFS:
+            self._unusable_responses += 1
+            return int(min(INITIAL_BACKOFF_NS, self._grace_ns // 8) * (0.5 + random.random()))
+        waited_ns = 0 if call.first_list_ns else now - call.started_at
+        is_down = call.transport is None or (not call.received_at and waited_ns < IMMEDIATE_FAILURE_NS)
+        if self._grace_ns and (was_open or (self._pushed and is_down)):
+            delay_ns = min(INITIAL_BACKOFF_NS, self._grace_ns // 4)
         else:
-            left = PROPAGATION_BOUND_NS - TURN - waited
-            rest = min(self._pause, max(BACKOFF_FIRST, left * 2 // 3))   # it is drawn up to half as long again
-            self._pause = 2 * rest
-            if waited >= rest and not call.heard:   # its wait was its rest, and the lease of the list runs on
-                rest = OVERLOAD_BACKOFF_NS
-        return int(rest * (0.5 + random.random()))
+            left_ns = PROPAGATION_BOUND_NS - QUEUE_ALLOWANCE_NS - waited_ns
+            # Two thirds, as the random factor makes the delay up to half as long again.
+            delay_ns = min(self._backoff_ns, max(INITIAL_BACKOFF_NS, left_ns * 2 // 3))
+            self._backoff_ns = 2 * delay_ns
+            if waited_ns >= delay_ns and not call.received_at:   # the wait replaces the backoff, as the lease runs on
+                delay_ns = OVERLOAD_BACKOFF_NS
+        return int(delay_ns * (0.5 + random.random()))
--- a/gateway/discovery_calls.py
+++ b/gateway/discovery_calls.py
@@ -1,4 +1,4 @@
-"""One call of discovery: its connection, of several tries, and its answer cut into objects."""
+"""One HTTP call to discovery: its connection, established by several attempts, and its response split into updates."""
 
 from __future__ import annotations
 
@@ -7,103 +7,104 @@
 
 import httptools
 
-from .discovery_timeouts import CALL, CONNECT, WATCH_SILENCE_TIMEOUT_NS
+from .discovery_timeouts import CONNECT_TIMEOUT_NS, RESPONSE_TIMEOUT_NS, WATCH_SILENCE_TIMEOUT_NS
 from .syscalls import read_available
 from .timers import now_ns
-from .update_parser import MAX_UPDATE_BYTES, MalformedUpdate, Objects
+from .update_parser import MAX_UPDATE_BYTES, MalformedUpdate, UpdateSplitter
 
-MAX_HEAD = 16 * 1024
-PATH = "/registry/instances"
+MAX_HEAD_BYTES = 16 * 1024
+LIST_PATH = "/registry/instances"
 
 
 class Owner(Protocol):
-    """Whose call it is."""
+    """The object that makes calls and receives their results."""
 
     authority: str
     last_received_ns: int
 
     @property
     def resume_generation(self) -> int:
-        """The version that a watch goes on from."""
+        """The version from which a watch resumes."""
 
-    def connected(self, call: DiscoveryCall) -> None:
-        """Its connection is up."""
+    def on_connected(self, call: DiscoveryCall) -> None:
+        """The connection is established."""
 
-    def word(self, call: DiscoveryCall) -> None:
-        """A watch that has told a list speaks."""
+    def on_watch_data(self, call: DiscoveryCall) -> None:
+        """A watch whose first list was accepted has received data."""
 
     def on_update(self, call: DiscoveryCall, text: bytes) -> None:
-        """An object has come whole."""
+        """A complete update has been received."""
 
-    def broken(self, call: DiscoveryCall, error: Exception) -> None:
-        """What has come can't be used."""
+    def on_malformed(self, call: DiscoveryCall, error: Exception) -> None:
+        """The received data is malformed."""
 
-    def cut_short(self, call: DiscoveryCall) -> None:
-        """An object has begun and is not whole."""
+    def on_incomplete(self, call: DiscoveryCall) -> None:
+        """Part of an update has been received."""
 
-    def ended(self, call: DiscoveryCall, why: str, failed: bool = True) -> None:
-        """It is over."""
+    def end_call(self, call: DiscoveryCall, why: str, failed: bool = True) -> None:
+        """The call has ended."""
 
 
-class Try(asyncio.Protocol):
-    """One try to connect for a call; the first that comes up carries it, any other is closed."""
+class ConnectAttempt(asyncio.Protocol):
+    """One connection attempt of a call; the first that is established carries the call, any other is closed."""
 
     def __init__(self, call: DiscoveryCall) -> None:
         self._call = call
-        self._carries = False
+        self._is_used = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._carries = self._call.take(cast(asyncio.Transport, transport))   # uvloop has its own kind
-        if not self._carries:
+        # The cast is needed because uvloop's transport is not a subclass of asyncio.Transport.
+        self._is_used = self._call.attach(cast(asyncio.Transport, transport))
+        if not self._is_used:
             cast(asyncio.Transport, transport).abort()
 
     def data_received(self, data: bytes) -> None:
-        if self._carries:
+        if self._is_used:
             self._call.data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self._carries:
+        if self._is_used:
             self._call.connection_lost(exc)
 
 
 class DiscoveryCall:
-    """A watch, which stays open, or the whole list once."""
+    """A watch, which stays open, or a single request for the full list."""
 
     def __init__(self, owner: Owner, watch: bool) -> None:
         self._owner = owner
         self._watch = watch
         self._parser = httptools.HttpResponseParser(self)
-        self._objects = Objects()
-        self._body = bytearray()    # not yet cut into objects; of a list that is asked for once, all of it
-        self._done = False
-        self._status = 0     # once its head is whole
-        self._size = 0
+        self._splitter = UpdateSplitter()
+        self._body = bytearray()    # a watch: not yet split into updates; a single request: the entire body
+        self._is_complete = False
+        self._status = 0     # 0 until the response head is complete
+        self._received_bytes = 0
         self.transport: asyncio.Transport | None = None
-        self.tries: dict[int, asyncio.Task[None]] = {}   # that have not failed, by number
-        self.tried = 0
+        self.connect_tasks: dict[int, asyncio.Task[None]] = {}   # attempts that have not failed, by number
+        self.connect_count = 0
         self.closed = False
-        self.own_trouble = False   # its connection failed for a reason on this machine
-        self.begun = now_ns()
+        self.local_error = False   # the connection failed for want of local resources
+        self.started_at = now_ns()
         self.connected_at = 0
-        self.tried_at = 0    # when its newest try began
-        self.renew_at = 0    # when another one is begun beside it, if it stays silent
-        self.cut_off = False   # its connection was lost, not closed from here
-        self.heard = 0
-        self.first_list_ns = 0     # when a list of it was first taken
-
-    def take(self, transport: asyncio.Transport) -> bool:
-        """A connection is up; whether it is wanted."""
+        self.last_connect_at = 0    # start of the newest connection attempt
+        self.renew_at = 0    # when a backup watch is opened if this one stays silent
+        self.was_disconnected = False   # the connection was lost, not closed by the gateway
+        self.received_at = 0
+        self.first_list_ns = 0     # when its first list was accepted
+
+    def attach(self, transport: asyncio.Transport) -> bool:
+        """Sends the request on an established connection; returns whether the connection is used."""
         if self.closed or self.transport is not None:
             return False
         self.transport = transport
         self.connected_at = now_ns()
         query = f"?watch=1&from={self._owner.resume_generation}" if self._watch else ""
-        transport.write(f"GET {PATH}{query} HTTP/1.1\r\nHost: {self._owner.authority}\r\n\r\n".encode())
-        self._owner.connected(self)
+        transport.write(f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {self._owner.authority}\r\n\r\n".encode())
+        self._owner.on_connected(self)
         return True
 
-    def read_waiting(self) -> None:
-        """Take in what has come and the loop has not read yet."""
+    def read_pending(self) -> None:
+        """Processes data that has arrived but has not yet been read by the event loop."""
         while self.transport is not None and not self.closed and not self.transport.is_closing():
             data = read_available(self.transport)
             if not data:
@@ -111,42 +112,42 @@
             self.data_received(data)
 
     def data_received(self, data: bytes) -> None:
-        """Some of the answer has come."""
+        """Processes a part of the response."""
         if self.closed:
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._owner.ended(self, f"malformed answer: {error}")
+            self._owner.end_call(self, f"malformed response: {error}")
             return
-        self._size += len(data)
-        if not self._status:   # the head comes in pieces
-            if self._size > MAX_HEAD:
-                self._owner.ended(self, "a head without end")
+        self._received_bytes += len(data)
+        if not self._status:   # the head may arrive in parts
+            if self._received_bytes > MAX_HEAD_BYTES:
+                self._owner.end_call(self, "response head too long")
             return
         if self._status != 200:
-            self._owner.ended(self, f"answer {self._status}")
+            self._owner.end_call(self, f"response status {self._status}")
             return
-        self.heard = self._owner.last_received_ns = now_ns()
+        self.received_at = self._owner.last_received_ns = now_ns()
         if self.first_list_ns:
-            self._owner.word(self)
+            self._owner.on_watch_data(self)
         try:
-            self._cut()
+            self._process_body()
         except MalformedUpdate as error:
-            self._owner.broken(self, error)
-        if self._done:
-            self._owner.ended(self, "the answer has ended", failed=self._watch)
-        elif self._objects.partial and not self.closed:
-            self._owner.cut_short(self)
-
-    def _cut(self) -> None:
-        """Tell the objects that are whole."""
+            self._owner.on_malformed(self, error)
+        if self._is_complete:
+            self._owner.end_call(self, "the response has ended", failed=self._watch)
+        elif self._splitter.is_incomplete and not self.closed:
+            self._owner.on_incomplete(self)
+
+    def _process_body(self) -> None:
+        """Passes complete updates to the owner."""
         if self._watch:
-            texts, self._body = self._objects.feed(bytes(self._body)), bytearray()
+            texts, self._body = self._splitter.feed(bytes(self._body)), bytearray()
         else:
             if len(self._body) > MAX_UPDATE_BYTES:
-                raise MalformedUpdate("a list without end")
-            texts = [bytes(self._body)] if self._done else []
+                raise MalformedUpdate("the list is too long")
+            texts = [bytes(self._body)] if self._is_complete else []
         for text in texts:
             if not self.closed:
                 self._owner.on_update(self, text)
@@ -158,29 +159,29 @@
         self._body += body
 
     def on_message_complete(self) -> None:
-        self._done = True
+        self._is_complete = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Its connection has ended."""
-        self.cut_off = True
-        self._owner.ended(self, f"connection lost: {exc}")
+        """Ends the call, as its connection was lost."""
+        self.was_disconnected = True
+        self._owner.end_call(self, f"connection lost: {exc}")
 
     @property
     def status(self) -> int:
-        """Of its answer; 0 where none has come."""
+        """The status of the response; 0 if none has been received."""
         return self._status
 
-    def due(self) -> int:
-        """From when on it counts as silent: the other side may have vanished without a word."""
-        if self.heard:
-            return self.heard + WATCH_SILENCE_TIMEOUT_NS
-        return self.begun + (CONNECT if self.transport is None else CALL)
+    def timeout_at(self) -> int:
+        """When the call counts as silent, ns: the other side may have vanished without closing the connection."""
+        if self.received_at:
+            return self.received_at + WATCH_SILENCE_TIMEOUT_NS
+        return self.started_at + (CONNECT_TIMEOUT_NS if self.transport is None else RESPONSE_TIMEOUT_NS)
 
     def close(self) -> None:
-        """It is wanted no longer."""
+        """Closes the connection and cancels pending connection attempts."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
-        for task in self.tries.values():
+        for task in self.connect_tasks.values():
             task.cancel()
-        self.tries.clear()
+        self.connect_tasks.clear()
--- a/gateway/failover.py
+++ b/gateway/failover.py
@@ -1,8 +1,8 @@
-"""Several list services, any of which may be down, behind or wrong, and the last good list on disk.
+"""Failover between several discovery services, any of which may be down, outdated or wrong, and the cached list.
 
-Loaded only where the configuration names several addresses or a folder.  A service that fails is followed by the next
-at once, with jitter; only when all have failed in turn is the module told so.  A list is refused that is older than the
-one that is known, or that would leave no host: neither can be an order.
+Loaded only if the configuration names several addresses or a folder.  When a service fails, the next one is called
+after a short jitter; the decision module is notified only once all have failed in turn.  A list is rejected if it is
+older than the current one or would leave no host, as neither can be intended.
 """
 
 from __future__ import annotations
@@ -29,23 +29,24 @@
 
 log = logging.getLogger("gateway.failover")
 
-JITTER = 300_000_000
-"""ns: gateways that lose a service do not all come to the next one at the same time."""
+FAILOVER_JITTER_NS = 300_000_000
+"""Maximum random delay before the next service is called, so that not all gateways that lose a service call it at once.
+"""
 MAGIC = b"moleworks-list 1 "
-KEPT_S = 24 * 3600
-"""An older file is not used: wall time, as no other clock outlives a process."""
-TOUCH = 60 * SECOND
-GATHER = SECOND // 5
-"""Changes so close together are written once."""
-AGAIN_FIRST = SECOND
-"""A list that could not be written is written again after so long, doubling up to `TOUCH`."""
-MOST_BYTES = 64 << 20
+MAX_CACHE_AGE_S = 24 * 3600
+"""Age above which a cached list is not used; in wall time, as no other clock outlives a process."""
+CACHE_TOUCH_INTERVAL_NS = 60 * SECOND
+WRITE_BATCH_DELAY_NS = SECOND // 5
+"""Updates received within this time are written together."""
+MIN_WRITE_RETRY_NS = SECOND
+"""Delay before a failed write is retried; doubles with each failure up to `CACHE_TOUCH_INTERVAL_NS`."""
+MAX_CACHE_BYTES = 64 << 20
 
 Address = tuple[str, int]
 
 
 class CachedList:
-    """One file: magic, CRC-32 and length, then the whole list in discovery's form.  Whole or not there."""
+    """One file: magic, CRC-32 and length, then the full list in discovery's format.  It is replaced atomically."""
 
     def __init__(self, folder: str, name: str) -> None:
         safe = "".join(letter if letter.isalnum() or letter in "-_" else "_" for letter in name) or "gateway"
@@ -53,7 +54,7 @@
         self._remove_leftovers()
 
     def _remove_leftovers(self) -> None:
-        """Files that killed processes have left half written."""
+        """Removes incomplete files of processes that were killed while writing."""
         for path in glob.glob(f"{glob.escape(self.path)}.*.new"):
             pid = path.split(".")[-2]
             if pid.isdigit() and not os.path.exists(f"/proc/{pid}"):
@@ -61,47 +62,48 @@
                     os.unlink(path)
 
     def read(self) -> dict[str, Any] | None:
-        """The list; None where there is none that can be used."""
+        """Returns the list, or None if there is no usable one."""
         try:
             with open(self.path, "rb") as file:
                 age = max(0.0, time.time() - os.fstat(file.fileno()).st_mtime)   # the clock may have been set back
-                data = file.read(MOST_BYTES)
+                data = file.read(MAX_CACHE_BYTES)
             head, _, body = data.partition(b"\n")
             crc, length = head.removeprefix(MAGIC).split()
             if not head.startswith(MAGIC) or int(length) != len(body) or int(crc) != zlib.crc32(body):
-                raise ValueError("it does not fit its checksum")
-            if age > KEPT_S:
+                raise ValueError("length or checksum mismatch")
+            if age > MAX_CACHE_AGE_S:
                 raise ValueError(f"it is {age / 3600:.0f} hours old")
-            told: dict[str, Any] = json.loads(body)
-            told["generation"] = int(told["generation"])
-            log.info("the kept list is %.0f s old, version %s", age, told.get("generation"))
-            return told
+            content: dict[str, Any] = json.loads(body)
+            content["generation"] = int(content["generation"])
+            log.info("the cached list is %.0f s old, version %s", age, content.get("generation"))
+            return content
         except FileNotFoundError:
             return None
         except (OSError, LookupError, TypeError, ValueError, RecursionError, AttributeError) as error:
-            log.warning("%s is not used: %s", self.path, error)
+            log.warning("cached list %s not used: %s", self.path, error)
             return None
 
-    def write(self, told: dict[str, Any]) -> bool:
-        """Replace the file; whether it is on disk.  A folder that can't be written is a line in the log."""
-        fresh = f"{self.path}.{os.getpid()}.new"
+    def write(self, content: dict[str, Any]) -> bool:
+        """Replaces the file and returns whether the list is on disk.  A failure, as of a read-only folder, is logged.
+        """
+        temporary = f"{self.path}.{os.getpid()}.new"
         try:
-            body = json.dumps(told, separators=(",", ":")).encode()
-            with open(fresh, "wb") as file:
+            body = json.dumps(content, separators=(",", ":")).encode()
+            with open(temporary, "wb") as file:
                 file.write(b"%b%d %d\n%b" % (MAGIC, zlib.crc32(body), len(body), body))
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(fresh, self.path)
+            os.replace(temporary, self.path)
             self._sync_folder()
         except OSError as error:
-            log.warning("the list is not kept: %s", error)
+            log.warning("cannot write the cached list: %s", error)
             with contextlib.suppress(OSError):
-                os.unlink(fresh)
+                os.unlink(temporary)
             return False
         return True
 
     def _sync_folder(self) -> None:
-        """The new name is on disk too."""
+        """Makes the new name durable too."""
         fd = os.open(os.path.dirname(self.path) or ".", os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -109,50 +111,50 @@
             os.close(fd)
 
     def touch(self) -> None:
-        """It is still the list."""
+        """Updates the file's time, as its list is still current."""
         with contextlib.suppress(OSError):
             os.utime(self.path)
 
 
 class FailoverDiscovery(Discovery):
-    """`Discovery` at several addresses, in turn."""
+    """`Discovery` that tries several addresses in turn."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, addresses: Sequence[Address],
-                 lines: UpdateParser, pushed: bool, tell: Callable[[ListKind, list[ListedHost]], None],
-                 kept: CachedList | None, grace_ns: int = 0, started_ns: int = 0) -> None:
-        self._all = list(addresses)
-        random.shuffle(self._all)      # gateways spread over the services
-        super().__init__(loop, timers, self._all[0], lines, pushed, tell, grace_ns, started_ns)
-        self._reach.services = len(self._all)
-        self._failed = 0               # services that failed since one told a list
+                 parser: UpdateParser, pushed: bool, on_list: Callable[[ListKind, list[ListedHost]], None],
+                 cache: CachedList | None, grace_ns: int = 0, started_ns: int = 0) -> None:
+        self._addresses = list(addresses)
+        random.shuffle(self._addresses)   # spreads gateways over the services
+        super().__init__(loop, timers, self._addresses[0], parser, pushed, on_list, grace_ns, started_ns)
+        self._reachability.services = len(self._addresses)
+        self._failed_services = 0         # since a service last sent a list
         self._rows: dict[str, Any] = {}
-        self._kept = kept
-        self._thread = ThreadPoolExecutor(1, "list") if kept is not None else None
-        self._writing = False          # a list waits to be written
-        self._on_disk = False          # the kept list is the one that is known
-        self._again = AGAIN_FIRST
-        timers.after(TOUCH, self._confirm, None)
+        self._cache = cache
+        self._thread = ThreadPoolExecutor(1, "list") if cache is not None else None
+        self._write_scheduled = False
+        self._is_cached = False           # whether the cached list is the current one
+        self._write_retry_ns = MIN_WRITE_RETRY_NS
+        timers.after(CACHE_TOUCH_INTERVAL_NS, self._touch_cache, None)
 
-    # ---- What is told ------------------------------------------------------------------------------------
+    # ---- Lists -------------------------------------------------------------------------------------------
 
     def load_known_list(self, listed: Any) -> None:
-        """The newer of the configuration's list and the one that was kept."""
-        kept = self._kept.read() if self._kept is not None else None
+        """Loads the newer of the configured list and the cached list."""
+        cached = self._cache.read() if self._cache is not None else None
         if not isinstance(listed, dict):
             super().load_known_list(listed)
             listed = {}
-        if kept is not None and (not listed.get("instances") or kept["generation"] > listed.get("generation", 0)):
-            listed = kept
+        if cached is not None and (not listed.get("instances") or cached["generation"] > listed.get("generation", 0)):
+            listed = cached
         super().load_known_list(listed)
         rows = listed.get("instances")
         self._rows = {row["instanceId"]: row for row in (rows if isinstance(rows, list) else ())
                       if isinstance(row, dict) and isinstance(row.get("instanceId"), str)}
 
-    def _doubt(self, told: dict[str, Any], change: HostListUpdate) -> str:
-        if change.generation < self.generation:
-            return f"a list of version {change.generation} after {self.generation}"
-        rows = {} if change.is_full else dict(self._rows)
-        for row in told["instances"]:
+    def _rejection_reason(self, content: dict[str, Any], update: HostListUpdate) -> str:
+        if update.generation < self.generation:
+            return f"a list of version {update.generation} after {self.generation}"
+        rows = {} if update.is_full else dict(self._rows)
+        for row in content["instances"]:
             if isinstance(row, dict) and isinstance(row.get("instanceId"), str):
                 if row.get("lifecycle") == "terminated":
                     rows.pop(row["instanceId"], None)
@@ -160,91 +162,91 @@
                     rows[row["instanceId"]] = row
         if self._rows and not rows:
             return "a list that leaves no host"
-        if change.is_full and len(change.hosts) * 2 < len(told["instances"]):
-            return "a list that can't be read for the most part"
+        if update.is_full and len(update.hosts) * 2 < len(content["instances"]):
+            return "a list with mostly malformed entries"
         self._rows = rows
-        self._failed = 0
-        self._on_disk = False
-        self._save_after(GATHER)
+        self._failed_services = 0
+        self._is_cached = False
+        self._schedule_write(WRITE_BATCH_DELAY_NS)
         return ""
 
-    def _save_after(self, delay_ns: int) -> None:
-        if self._kept is not None and not self._writing:
-            self._writing = True
-            self._timers.after(delay_ns, self._save, None)
+    def _schedule_write(self, delay_ns: int) -> None:
+        if self._cache is not None and not self._write_scheduled:
+            self._write_scheduled = True
+            self._timers.after(delay_ns, self._write, None)
 
-    def _save(self, _: None) -> None:
-        if not self._writing or self._kept is None or self._thread is None:
+    def _write(self, _: None) -> None:
+        if not self._write_scheduled or self._cache is None or self._thread is None:
             return
-        self._writing = False
-        told = {"generation": self.generation, "reset": True, "instances": list(self._rows.values())}
+        self._write_scheduled = False
+        content = {"generation": self.generation, "reset": True, "instances": list(self._rows.values())}
         generation = self.generation
-        self._thread.submit(self._kept.write, told).add_done_callback(
-            lambda done: self._hear_written(done.exception() is None and done.result(), generation))
+        self._thread.submit(self._cache.write, content).add_done_callback(
+            lambda done: self._on_thread_done(done.exception() is None and done.result(), generation))
 
-    def _hear_written(self, on_disk: bool, generation: int) -> None:
-        with contextlib.suppress(RuntimeError):   # the loop has ended
-            self._loop.call_soon_threadsafe(self._written, on_disk, generation)
+    def _on_thread_done(self, on_disk: bool, generation: int) -> None:
+        with contextlib.suppress(RuntimeError):   # the event loop has been closed
+            self._loop.call_soon_threadsafe(self._on_written, on_disk, generation)
 
-    def _written(self, on_disk: bool, generation: int) -> None:
-        """A list that could not be written is still owed."""
+    def _on_written(self, on_disk: bool, generation: int) -> None:
+        """Handles the end of a write; a failed one is retried."""
         if on_disk:
-            self._again = AGAIN_FIRST
-            self._on_disk = generation == self.generation and not self._writing
+            self._write_retry_ns = MIN_WRITE_RETRY_NS
+            self._is_cached = generation == self.generation and not self._write_scheduled
         else:
-            self._save_after(self._again)
-            self._again = min(2 * self._again, TOUCH)
+            self._schedule_write(self._write_retry_ns)
+            self._write_retry_ns = min(2 * self._write_retry_ns, CACHE_TOUCH_INTERVAL_NS)
 
     # ---- Services ----------------------------------------------------------------------------------------
 
-    def _over(self, call: DiscoveryCall, why: str, failed: bool) -> None:
-        """A service has failed: on to the next; the module hears of it only once all have."""
+    def _on_call_over(self, call: DiscoveryCall, why: str, failed: bool) -> None:
+        """Switches to the next service after a failure; the decision module is notified only once all have failed."""
         if not failed:
-            super()._over(call, why, failed)
+            super()._on_call_over(call, why, failed)
             return
-        self._address = self._all[(self._all.index(self._address) + 1) % len(self._all)]
+        self._address = self._addresses[(self._addresses.index(self._address) + 1) % len(self._addresses)]
         self.authority = f"{self._address[0]}:{self._address[1]}"
-        self._failed += 1
-        if self._failed >= len(self._all):
-            self._failed = 0
-            super()._over(call, why, failed)
+        self._failed_services += 1
+        if self._failed_services >= len(self._addresses):
+            self._failed_services = 0
+            super()._on_call_over(call, why, failed)
             return
-        log.info("discovery: %s: on to %s", why, self.authority)
-        soon = int(JITTER * random.random())
+        log.info("discovery: %s: switching to %s", why, self.authority)
+        delay_ns = int(FAILOVER_JITTER_NS * random.random())
         if call is self._watch:
             self._watch = None
-            self._watch_after(soon)
+            self._watch_after(delay_ns)
         elif call is self._list_call:
             self._list_call = None
-            self._timers.after(soon, lambda _: self.fetch(), None)
-
-    def reconfigure(self, address: Address, lines: UpdateParser, pushed: bool, others: Sequence[Address] = ()) -> None:
-        """Other services from now on; where there are the same ones nothing ends."""
-        every = [address, *others]
-        same = set(every) == set(self._all)
-        self._all = every
-        self._reach.services = len(every)
-        if not same or lines.names != self._lines.names:
+            self._timers.after(delay_ns, lambda _: self.fetch(), None)
+
+    def reconfigure(self, address: Address, parser: UpdateParser, pushed: bool, others: Sequence[Address] = ()) -> None:
+        """Switches to the services of new settings; no call ends if they are the same ones."""
+        addresses = [address, *others]
+        same = set(addresses) == set(self._addresses)
+        self._addresses = addresses
+        self._reachability.services = len(addresses)
+        if not same or parser.names != self._parser.names:
             self._rows = {}
-            self._failed = 0
-        super().reconfigure(self._address if same else address, lines, pushed)
+            self._failed_services = 0
+        super().reconfigure(self._address if same else address, parser, pushed)
 
-    def fell_silent(self, call: DiscoveryCall) -> None:
-        """Another service may speak."""
-        self.ended(call, "silent")
+    def replace_silent_watch(self, call: DiscoveryCall) -> None:
+        """Ends a silent watch as failed, as another service may respond."""
+        self.end_call(call, "silent")
 
-    def _confirm(self, _: None) -> None:
-        """A list that a living watch confirms is not old."""
-        if self._kept is None or self._thread is None:
+    def _touch_cache(self, _: None) -> None:
+        """Marks the cached list as current while an open watch confirms it."""
+        if self._cache is None or self._thread is None:
             return
-        if self._watch is not None and self._watch.heard and self._on_disk:
-            self._thread.submit(self._kept.touch)
-        self._timers.after(TOUCH, self._confirm, None)
+        if self._watch is not None and self._watch.received_at and self._is_cached:
+            self._thread.submit(self._cache.touch)
+        self._timers.after(CACHE_TOUCH_INTERVAL_NS, self._touch_cache, None)
 
     def close(self) -> None:
-        """End everything; the program is over."""
+        """Ends all calls, and writes a scheduled list, at shutdown."""
         super().close()
-        self._save(None)      # what was about to be
+        self._write(None)
         if self._thread is not None:
             self._thread.shutdown()
             self._thread = None
--- a/gateway/update_parser.py
+++ b/gateway/update_parser.py
@@ -1,4 +1,4 @@
-"""Discovery's text turned into entries: the objects of a watch, and the hosts that an object names."""
+"""Parses discovery's output: splits a watch's stream into updates, and converts updates to host entries."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class ListedHost(NamedTuple):
-    """A line of the list: what the module is told, and where the host listens."""
+    """A host of the list: its entry for the decision module, and the address on which it listens."""
 
     entry: HostEntry
     address: tuple[str, int]
 
 
 class HostListUpdate(NamedTuple):
-    """An object of discovery: its version, whether it names all hosts, and its entries."""
+    """An update from discovery: its version, whether it is a full list, and its hosts."""
 
     generation: int
     is_full: bool
@@ -35,154 +35,154 @@
 
 
 class MalformedUpdate(Exception):
-    """A line of discovery that can't be used."""
+    """An update from discovery that cannot be used."""
 
 
 class UpdateParser:
-    """Turns discovery's objects into entries; names become the numbers of the settings."""
+    """Converts discovery's JSON objects to updates; names of zones and machine types become indices of the settings."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str], starts: StartTimes) -> None:
         self.names = (tuple(zones), tuple(kinds))
         self._zones = {name: index for index, name in enumerate(zones)}
         self._kinds = {name: index for index, name in enumerate(kinds)}
-        self._last: dict[HostId, ListedHost] = {}   # each listed host as it was last told
+        self._accepted: dict[HostId, ListedHost] = {}   # the last accepted entry of each listed host
         self._starts = starts
 
-    def parse(self, line: Any, not_before: int = 0) -> HostListUpdate:
-        """Read an object and take it in."""
-        change = self.read(line, not_before)
-        self.accept(change)
-        return change
+    def parse(self, content: Any, not_before: int = 0) -> HostListUpdate:
+        """Parses an update and accepts it."""
+        update = self.read(content, not_before)
+        self.accept(update)
+        return update
 
-    def read(self, line: Any, not_before: int = 0) -> HostListUpdate:
-        """What an object says; a broken entry is logged and dropped.  Nothing of it is remembered before `accept`.
+    def read(self, content: Any, not_before: int = 0) -> HostListUpdate:
+        """Parses an update without remembering it; a malformed entry is logged and repaired or dropped.
 
-        `not_before`: when the list before it was heard, which new starts can't precede; 0: there was none.
+        `not_before`: when the previous list was received, which new starts cannot precede; 0 if there was none.
         """
         try:
-            generation, rows = int(line["generation"]), line["instances"]
-            whole = line.get("reset", False)
-            if not isinstance(rows, list) or not isinstance(whole, bool):
-                raise MalformedUpdate("instances or reset are of the wrong kind")
+            generation, rows = int(content["generation"]), content["instances"]
+            is_full = content.get("reset", False)
+            if not isinstance(rows, list) or not isinstance(is_full, bool):
+                raise MalformedUpdate("instances or reset have the wrong type")
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise MalformedUpdate(repr(error)) from None
-        listed = []
+        hosts = []
         now = now_ns()
         self._starts.update_offsets()
-        self._starts.newest(max((_started(row) for row in rows), default=0), now)
+        self._starts.observe_newest(max((_start_ms(row) for row in rows), default=0), now)
         for row in rows:
             try:
-                listed.append(self._entry(row, now, not_before))
+                hosts.append(self._parse_entry(row, now, not_before))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-                log.warning("broken entry: %r: %.200r", error, row)
-                if (kept := self._mended(row)) is not None:
-                    listed.append(kept)
-        return HostListUpdate(generation, whole, listed)
-
-    def accept(self, change: HostListUpdate) -> None:
-        """The object is believed: broken entries of later ones are mended by it."""
-        if change.is_full:
-            self._last.clear()
-        for item in change.hosts:
-            self._last[item.entry.host] = item
+                log.warning("malformed entry: %r: %.200r", error, row)
+                if (repaired := self._repair(row)) is not None:
+                    hosts.append(repaired)
+        return HostListUpdate(generation, is_full, hosts)
+
+    def accept(self, update: HostListUpdate) -> None:
+        """Remembers the entries of an accepted update, which repair malformed entries of later ones."""
+        if update.is_full:
+            self._accepted.clear()
+        for item in update.hosts:
+            self._accepted[item.entry.host] = item
             if item.entry.state is HostState.GONE:
-                del self._last[item.entry.host]
-        self._starts.forget(self._last.keys())
+                del self._accepted[item.entry.host]
+        self._starts.forget_unlisted(self._accepted.keys())
 
-    def _mended(self, row: Any) -> ListedHost | None:
-        """A broken entry of a host that is known: as it was, but for a state that can be read.
+    def _repair(self, row: Any) -> ListedHost | None:
+        """Replaces a malformed entry of a known host by its last accepted one, with the new state if that is readable.
 
-        Guards against a host that goes because of a figure that can't be read, and one that drains unheard.
+        Otherwise an unreadable number would remove a host, or hide that it drains.
         """
         if not isinstance(row, dict) or not isinstance(row.get("instanceId"), str):
             return None
-        known = self._last.get(row["instanceId"])
+        known = self._accepted.get(row["instanceId"])
         state = STATES.get(row["lifecycle"]) if isinstance(row.get("lifecycle"), str) else None
         if known is None or state is None:
             return known
         return known._replace(entry=known.entry._replace(state=state))
 
-    def _entry(self, row: dict[str, Any], now: int, not_before: int) -> ListedHost:
+    def _parse_entry(self, row: dict[str, Any], now: int, not_before: int) -> ListedHost:
         address, _, port = row["hostPort"].rpartition(":")
         started, weight = int(row.get("startedAtMs") or 0), float(row.get("weight", 1.0))
         if not address or not 0 < int(port) < 65536 or not math.isfinite(weight) or started < 0:
-            raise ValueError("a figure out of range")
+            raise ValueError("a value is out of range")
         host = row["instanceId"]
         if not isinstance(host, str) or not host:
             raise ValueError("no instanceId")
         entry = HostEntry(host, self._zones[row["zone"]], self._kinds.get(row.get("machineType", ""), 0),
                           int(row.get("cell", 0)), STATES[row["lifecycle"]], weight,
-                          self._starts.of(host, started, now, not_before))
+                          self._starts.convert(host, started, now, not_before))
         return ListedHost(entry, (address.strip("[]"), int(port)))
 
 
-def _started(row: Any) -> int:
-    """The start of an entry that can be read, ms; else 0."""
+def _start_ms(row: Any) -> int:
+    """Returns the start time of an entry, ms; 0 if it is unreadable."""
     started = row.get("startedAtMs") if isinstance(row, dict) else 0
     return started if isinstance(started, int) and started > 0 else 0
 
 
-_TEXTS = re.compile(rb'"(?:[^"\\]|\\.)*"')
-_BEGIN = re.compile(rb'\{\s*"generation"\s*:')
-"""What each object begins with, and nothing in it: its quotes would be escaped in a name."""
-_NO_BRACKETS = bytes(set(range(256)) - set(b"{}[]"))
+_STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"')
+_UPDATE_START = re.compile(rb'\{\s*"generation"\s*:')
+"""The start of each update.  It cannot occur within one: its quotes would be escaped in a string."""
+_NON_BRACKETS = bytes(set(range(256)) - set(b"{}[]"))
 
 
-class Objects:
-    """Cuts a watch's text into its objects, each on one line or, indented, on several.
+class UpdateSplitter:
+    """Splits a watch's stream into updates: JSON objects on one line each or, indented, on several.
 
-    A line that is cut short must cost no change: it can't be told from the start of an indented object by itself, but
-    by what follows.  A string that does not end on its line, an object where a name should stand, an empty line in
-    the middle and, told by `Discovery`, nothing at all for a while: in each case the call is begun anew.
+    A truncated line must not lose a change.  By itself it cannot be told from the start of an indented object, but what
+    follows shows it: a string that does not end on its line, an object where a key should be, an empty line within an
+    object, or (detected by `Discovery`) silence for a while.  In each case the call is restarted.
     """
 
     def __init__(self) -> None:
-        self._lines: list[bytes] = []   # of an object that is not whole
-        self._open = bytearray()        # its brackets that are open
-        self._rest = b""                # a line that is not whole
+        self._lines: list[bytes] = []      # of an incomplete object
+        self._open_brackets = bytearray()  # of that object
+        self._partial_line = b""
         self._size = 0
 
     @property
-    def partial(self) -> bool:
-        """Whether an object has begun and is not whole."""
-        return bool(self._lines or self._rest.strip())
+    def is_incomplete(self) -> bool:
+        """Whether an object has been received in part."""
+        return bool(self._lines or self._partial_line.strip())
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The objects that are whole now; raises BadLine where one can't become whole any more."""
-        *lines, rest = (self._rest + data).split(b"\n")
-        self._rest = rest
+        """Returns the objects that are now complete; raises MalformedUpdate if one cannot become complete any more."""
+        *lines, rest = (self._partial_line + data).split(b"\n")
+        self._partial_line = rest
         self._size += len(data)
-        whole = []
+        complete = []
         for line in lines:
-            if self._take(line.strip()):
-                whole.append(b"\n".join(self._lines))
+            if self._add_line(line.strip()):
+                complete.append(b"\n".join(self._lines))
                 self._lines.clear()
                 self._size = len(rest)
         if self._size > MAX_UPDATE_BYTES:
-            raise MalformedUpdate("an object without end")
+            raise MalformedUpdate("an update is too long")
         if not self._lines:
             self._size = len(rest)
-        return whole
+        return complete
 
-    def _take(self, line: bytes) -> bool:
-        """One more line; whether it makes the object whole."""
+    def _add_line(self, line: bytes) -> bool:
+        """Adds a line to the current object; returns whether the object is complete."""
         if not line:
             if self._lines:
-                raise MalformedUpdate("an empty line in an object")
+                raise MalformedUpdate("an empty line within an object")
             return False
-        if _BEGIN.search(line, 1) or (self._lines and _BEGIN.match(line)):
-            raise MalformedUpdate("an object behind one that was cut short")
-        bare = _TEXTS.sub(b"", line)
+        if _UPDATE_START.search(line, 1) or (self._lines and _UPDATE_START.match(line)):
+            raise MalformedUpdate("an object after a truncated one")
+        bare = _STRINGS.sub(b"", line)
         if b'"' in bare:
-            raise MalformedUpdate("a string without end")
-        if not self._open and bare[:1] != b"{":
-            raise MalformedUpdate("no object")
-        if self._open[-1:] == b"{" and bare[:1] in b"{[" and not self._lines[-1].endswith(b":"):
-            raise MalformedUpdate("an object in an object")
-        for bracket in bare.translate(None, _NO_BRACKETS):
+            raise MalformedUpdate("an unterminated string")
+        if not self._open_brackets and bare[:1] != b"{":
+            raise MalformedUpdate("not an object")
+        if self._open_brackets[-1:] == b"{" and bare[:1] in b"{[" and not self._lines[-1].endswith(b":"):
+            raise MalformedUpdate("an object without a key within an object")
+        for bracket in bare.translate(None, _NON_BRACKETS):
             if bracket in b"{[":
-                self._open.append(bracket)
-            elif not self._open or self._open.pop() != bracket - 2:
-                raise MalformedUpdate("brackets that do not fit")
+                self._open_brackets.append(bracket)
+            elif not self._open_brackets or self._open_brackets.pop() != bracket - 2:
+                raise MalformedUpdate("unbalanced brackets")
         self._lines.append(line)
-        return not self._open
+        return not self._open_brackets
