--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -261,7 +261,7 @@
         """
         self._pushed = pushed
         self._backoff_ns = INITIAL_BACKOFF_NS
-        if address == self._address and parser.names == self._parser.names:
+        if address == self._address and parser.configured_names == self._parser.configured_names:
             self._refresh_watch()
             return
         self._parser = parser
@@ -585,7 +585,7 @@
         * The response was corrupted in transit: the service is able to respond.
         """
         now = now_ns()
-        if now < self._hold_until or (self._reachability.doubtful and not call.local_error):
+        if now < self._hold_until or (self._reachability.may_be_down and not call.local_error):
             return 0
         if self._pushed and call.transport is None and call.connect_count > 1:
             return 0   # no connection was established, so another attempt adds no load to the service
--- a/gateway/discovery_timeouts.py
+++ b/gateway/discovery_timeouts.py
@@ -45,7 +45,7 @@
 """Longest wait for the first line of a response: a response to a call that has queued for the full allowance still
 needs time to arrive."""
 WATCH_RENEWAL_NS = HEARTBEAT_INTERVAL_NS + HEARTBEAT_TOLERANCE_NS
-"""Silence after which a watch may be dead: a backup watch is opened concurrently, and the first to receive data stays.
+"""Silence after which a watch may be dead: a backup watch is opened, and the first of the two to receive data is kept.
 """
 WATCH_SILENCE_TIMEOUT_NS = 3 * SECOND
 """Silence after which a watch counts as dead: one missed heartbeat and half of the next interval."""
--- a/gateway/failover.py
+++ b/gateway/failover.py
@@ -226,7 +226,7 @@
         same = set(addresses) == set(self._addresses)
         self._addresses = addresses
         self._reachability.services = len(addresses)
-        if not same or parser.names != self._parser.names:
+        if not same or parser.configured_names != self._parser.configured_names:
             self._rows = {}
             self._failed_services = 0
         super().reconfigure(self._address if same else address, parser, pushed)
--- a/gateway/reachability.py
+++ b/gateway/reachability.py
@@ -24,7 +24,7 @@
         self._failed_addresses: set[Address] = set()
 
     @property
-    def doubtful(self) -> bool:
+    def may_be_down(self) -> bool:
         """Whether calls have failed to reach discovery, but too few to show that it is down."""
         return self._failures > 0 and not self._is_confirmed
 
--- a/gateway/update_parser.py
+++ b/gateway/update_parser.py
@@ -42,7 +42,7 @@
     """Converts discovery's JSON objects to updates; names of zones and machine types become indices of the settings."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str], starts: StartTimes) -> None:
-        self.names = (tuple(zones), tuple(kinds))
+        self.configured_names = (tuple(zones), tuple(kinds))
         self._zones = {name: index for index, name in enumerate(zones)}
         self._kinds = {name: index for index, name in enumerate(kinds)}
         self._accepted: dict[HostId, ListedHost] = {}   # the last accepted entry of each listed host
