--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -400,7 +400,7 @@
         Changes that it misses take effect 6 s after it fell silent, which leaves no time for the backoff of a failed
         call.
         """
-        log.info("discovery: the watch is silent")
+        log.info("discovery: the watch has fallen silent")
         event(log, "call_ended", why="silent", heard_ago_ns=now_ns() - call.received_at)
         self._on_watch_lost(call, now_ns(), call.received_at)
         call.close()
@@ -420,7 +420,7 @@
             self.on_malformed(call, error)
             return
         if call is self._list_call:
-            update = update._replace(is_full=True)
+            update = update._replace(whole=True)
         if self._reject_outdated(call, update):
             return
         if why := self._rejection_reason(content, update):
@@ -439,8 +439,8 @@
         if not delay_ns:   # else the end of its watch may be unread behind it
             self._hold_until = 0
         self._choose_watch(call)
-        event(log, "list", generation=update.generation, whole=update.is_full, entries=len(update.hosts))
-        self._on_list(ListKind.FULL if update.is_full else ListKind.DELTA, update.hosts)
+        event(log, "list", generation=update.generation, whole=update.whole, entries=len(update.listed))
+        self._on_list(ListKind.FULL if update.whole else ListKind.DELTA, update.listed)
 
     def _prove_list(self, call: DiscoveryCall, at: int) -> None:
         """Extends the lease by a list that was accepted at this time.
@@ -476,7 +476,7 @@
         """
         if update.generation >= self.generation:
             return False
-        if update.is_full and call is not self._list_call and not call.first_list_ns \
+        if update.whole and call is not self._list_call and not call.first_list_ns \
                 and self._last_list_at <= call.connected_at:
             return False
         event(log, "older_list", generation=update.generation, known=self.generation)
@@ -508,7 +508,7 @@
         call.read_pending()
         if not call.closed and call.received_at == received_at:
             self._truncations += 1
-            self.end_call(call, "truncated update")
+            self.end_call(call, "an object that was cut short")
 
     def end_call(self, call: DiscoveryCall, why: str, failed: bool = True) -> None:
         """Ends a call; the decision module is notified once, and only of a failed call that has no backup."""
--- a/gateway/discovery_calls.py
+++ b/gateway/discovery_calls.py
@@ -126,7 +126,7 @@
                 self._owner.end_call(self, "response head too long")
             return
         if self._status != 200:
-            self._owner.end_call(self, f"response status {self._status}")
+            self._owner.end_call(self, f"answer {self._status}")
             return
         self.received_at = self._owner.last_received_ns = now_ns()
         if self.first_list_ns:
--- a/gateway/failover.py
+++ b/gateway/failover.py
@@ -153,7 +153,7 @@
     def _rejection_reason(self, content: dict[str, Any], update: HostListUpdate) -> str:
         if update.generation < self.generation:
             return f"a list of version {update.generation} after {self.generation}"
-        rows = {} if update.is_full else dict(self._rows)
+        rows = {} if update.whole else dict(self._rows)
         for row in content["instances"]:
             if isinstance(row, dict) and isinstance(row.get("instanceId"), str):
                 if row.get("lifecycle") == "terminated":
@@ -162,7 +162,7 @@
                     rows[row["instanceId"]] = row
         if self._rows and not rows:
             return "a list that leaves no host"
-        if update.is_full and len(update.hosts) * 2 < len(content["instances"]):
+        if update.whole and len(update.listed) * 2 < len(content["instances"]):
             return "a list with mostly malformed entries"
         self._rows = rows
         self._failed_services = 0
--- a/gateway/update_parser.py
+++ b/gateway/update_parser.py
@@ -30,8 +30,8 @@
     """An update from discovery: its version, whether it is a full list, and its hosts."""
 
     generation: int
-    is_full: bool
-    hosts: list[ListedHost]
+    whole: bool
+    listed: list[ListedHost]
 
 
 class MalformedUpdate(Exception):
@@ -74,16 +74,16 @@
             try:
                 hosts.append(self._parse_entry(row, now, not_before))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-                log.warning("malformed entry: %r: %.200r", error, row)
+                log.warning("broken entry: %r: %.200r", error, row)
                 if (repaired := self._repair(row)) is not None:
                     hosts.append(repaired)
         return HostListUpdate(generation, is_full, hosts)
 
     def accept(self, update: HostListUpdate) -> None:
         """Remembers the entries of an accepted update, which repair malformed entries of later ones."""
-        if update.is_full:
+        if update.whole:
             self._accepted.clear()
-        for item in update.hosts:
+        for item in update.listed:
             self._accepted[item.entry.host] = item
             if item.entry.state is HostState.GONE:
                 del self._accepted[item.entry.host]
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -260,7 +260,7 @@
     def data_received(self, data: memoryview) -> None:
         """Parse the response; bytes that arrive while no request waits for one make the connection unusable."""
         if self.attempt is None or self._parser is None:
-            log.warning("unsolicited bytes from host %s; closing the connection", self.host.address)
+            log.warning("unasked bytes from %s", self.host.address)
             self._close()
             return
         try:
@@ -573,7 +573,8 @@
                 connection.local_error = error.errno in LOCAL_ERRNOS
                 if not connection.local_error:
                     break
-                event(log, "connect_failed", host=connection.host.address[1], errno=error.errno, why="local error")
+                event(log, "connect_failed", host=connection.host.address[1], errno=error.errno,
+                      why="this machine's trouble")
             await asyncio.sleep(LOCAL_ERROR_RETRY_S)   # `_on_connect_timeout` ends the loop
         connection.task = None
         connection.abandon(Outcome.CONNECT_FAILED)
--- a/tests/test_incident_27.py
+++ b/tests/test_incident_27.py
@@ -132,7 +132,7 @@
     row = {"instanceId": "h0", "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": "in_service"}
     lines.parse({"generation": 1, "reset": True, "instances": [row]})
     lines.read({"generation": 0, "reset": True, "instances": []})   # not accepted
-    [item] = lines.read({"generation": 2, "instances": [{**row, "zone": "z"}]}).hosts
+    [item] = lines.read({"generation": 2, "instances": [{**row, "zone": "z"}]}).listed
     assert item.entry.host == "h0"   # its broken entry is still mended by what was accepted
 
 
