--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -1,6 +1,6 @@
-"""A gateway without a network: records what the module asks for and judges it against the four rules.
+"""A gateway without a network: records the decision module's actions and checks them against the four rules.
 
-The judge shares no code with the module: it keeps its own books from the events and actions alone.
+The checks share no code with the module: they use only the events and actions recorded here.
 """
 
 from __future__ import annotations
@@ -26,44 +26,44 @@
     Settings,
 )
 
-HARMLESS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NOT_PROCESSED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 def a_class(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **more: Any) -> RequestClass:
-    """A class with an aim of 400 ms, given up after 1 s."""
-    given: dict[str, Any] = {"name": "c", "aim_ns": 400 * MS, "deadline_ns": SECOND, "late_worth": 0.3,
-                             "window_ns": SECOND if effect is Effect.KEYED else 0}
-    return RequestClass(effect=effect, group=group, **(given | more))
+    """A request class with a latency target of 400 ms and a deadline of 1 s."""
+    defaults: dict[str, Any] = {"name": "c", "aim_ns": 400 * MS, "deadline_ns": SECOND, "late_worth": 0.3,
+                                "window_ns": SECOND if effect is Effect.KEYED else 0}
+    return RequestClass(effect=effect, group=group, **(defaults | more))
 
 
 def some_settings(*classes: RequestClass, zones: int = 1, **more: Any) -> Settings:
-    """Settings with five attempts; told otherwise by name."""
-    given: dict[str, Any] = {"zone": 0, "zones": zones, "classes": classes or (a_class(),),
-                             "limits": Limits(max_attempts=5)}
-    return Settings(**(given | more))
+    """Settings with at most five attempts; keyword arguments replace the defaults."""
+    defaults: dict[str, Any] = {"zone": 0, "zones": zones, "classes": classes or (a_class(),),
+                                "limits": Limits(max_attempts=5)}
+    return Settings(**(defaults | more))
 
 
 def entry(host: HostId, zone: int = 0, cell: int = 0, state: HostState = HostState.READY,
           started_ns: int = 0, weight: float = 1.0) -> HostEntry:
-    """A line of the list."""
+    """An entry of the host list."""
     return HostEntry(host, zone, 0, cell, state, weight, started_ns)
 
 
-class _Held:
-    """The books on one request."""
+class _RequestRecord:
+    """What is recorded of one request."""
 
     def __init__(self, cls: RequestClass, deadline: int) -> None:
         self.cls = cls
         self.deadline = deadline
         self.out: dict[int, HostId] = {}
-        self.sent: list[tuple[HostId, int]] = []   # attempts that may have run, with their time
+        self.sent: list[tuple[HostId, int]] = []   # attempts that a host may have processed, with the time of sending
         self.count = 0
         self.answers = 0
         self.over = False
 
 
 class Gateway:
-    """One module with its clock, timers and attempts; `broken` lists the rules it broke."""
+    """One module with its clock, timers and attempts; `broken` lists the rule violations."""
 
     def __init__(self, settings: Settings, hosts: Sequence[HostEntry] = (), salt: int = 1) -> None:
         self.settings = settings
@@ -76,75 +76,76 @@
         self.probes: list[HostId] = []
         self.told: list[bytes] = []
         self.timers: dict[int, int] = {}
-        self.held: dict[int, _Held] = {}
+        self.held: dict[int, _RequestRecord] = {}
         self.broken: list[str] = []
         self.hosts: dict[HostId, HostEntry] = {}
-        self.barred: dict[HostId, int] = {}
+        self.not_ready_since: dict[HostId, int] = {}
         self.rid = 0
         self.list_valid = True
         self.module = Balancer(settings, salt, self)
         if hosts:
             self.list(ListKind.FULL, hosts)
 
-    # What the module asks for.
+    # Actions: called by the module.
 
     def lease(self, valid: bool) -> None:
-        """The list may be followed no longer, or again."""
+        """Tell the module that the list may no longer be used, or may be used again."""
         self.list_valid = valid
         self.module.on_lease(self.now, valid)
 
     def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
         if not self.list_valid:
-            self.broken.append("drain: sent by a list that is too old")
+            self.broken.append("drain: sent while the lease of the list had expired")
         held = self.held[rid]
         if held.over:
-            self.broken.append(f"1: request {rid} is sent after its end")
+            self.broken.append(f"1: request {rid} was sent after its end")
         grace = self.settings.rules.drain_grace_ns
-        if host in self.barred and self.now > self.barred[host] + grace:
-            self.broken.append(f"3: {host!r} is sent work {self.now - self.barred[host]} ns after its drain")
-        self._judge_repeat(held, host, write_within_ns)
+        if host in self.not_ready_since and self.now > self.not_ready_since[host] + grace:
+            self.broken.append(f"3: {host!r} was sent a request {self.now - self.not_ready_since[host]} ns"
+                               " after its drain began")
+        self._check_retry(held, host, write_within_ns)
         if held.out and not self.settings.limits.allows_concurrent_attempts:
-            self.broken.append(f"2: request {rid} has two copies out")
+            self.broken.append(f"2: request {rid} has two attempts in flight")
         held.out[held.count] = host
         held.sent.append((host, self.now))
         held.count += 1
         if held.count > self.settings.limits.max_attempts:
-            self.broken.append(f"2: request {rid} is tried {held.count} times")
+            self.broken.append(f"2: request {rid} was attempted {held.count} times")
         self.sends.append((rid, host, timeout_ns))
         self.times.append(self.now)
 
-    def _judge_repeat(self, held: _Held, host: HostId, write_within_ns: int) -> None:
+    def _check_retry(self, held: _RequestRecord, host: HostId, write_within_ns: int) -> None:
         cls, target = held.cls, self.hosts[host]
-        for old, at in held.sent:
+        for earlier_host, sent_at in held.sent:
             if cls.effect is Effect.UNSAFE:
-                self.broken.append("2: an unsafe request that may have run is sent again")
+                self.broken.append("2: an unsafe request that may have been processed was sent again")
             if cls.effect is Effect.KEYED:
-                first = self.hosts[old]
-                same = {Group.ALL: True, Group.ZONE: first.zone == target.zone,
-                        Group.CELL: first.cell == target.cell}[cls.group]
-                if not same or self.now > at + cls.window_ns:
-                    self.broken.append("2: a keyed request leaves its group or its window")
-                if not 0 < write_within_ns < at + cls.window_ns - self.now:
-                    self.broken.append("2: a copy may be begun past the window")
+                first = self.hosts[earlier_host]
+                in_group = {Group.ALL: True, Group.ZONE: first.zone == target.zone,
+                            Group.CELL: first.cell == target.cell}[cls.group]
+                if not in_group or self.now > sent_at + cls.window_ns:
+                    self.broken.append("2: a keyed request was retried outside its group or its window")
+                if not 0 < write_within_ns < sent_at + cls.window_ns - self.now:
+                    self.broken.append("2: an attempt may be written after the window has ended")
 
     def fail(self, rid: int) -> None:
-        self._answer(rid, "fail")
+        self._end_request(rid, "fail")
 
     def refuse(self, rid: int, retry_after_ns: int) -> None:
         held = self.held[rid]
-        whole = held.cls.effect is Effect.KEYED and held.cls.group is Group.ALL
-        if held.sent and held.cls.effect is not Effect.SAFE and not whole and not held.over:
-            self.broken.append(f"2: request {rid} may have run and is refused")
-        self._answer(rid, "refuse")
+        in_any_group = held.cls.effect is Effect.KEYED and held.cls.group is Group.ALL
+        if held.sent and held.cls.effect is not Effect.SAFE and not in_any_group and not held.over:
+            self.broken.append(f"2: request {rid} may have been processed and was refused")
+        self._end_request(rid, "refuse")
 
-    def _answer(self, rid: int, how: str) -> None:
+    def _end_request(self, rid: int, result: str) -> None:
         held = self.held[rid]
         if not held.over:
             held.over = True
             held.answers += 1
-            self.ends[rid] = how
+            self.ends[rid] = result
             if self.now > held.deadline + self.settings.rules.answer_slack_ns:
-                self.broken.append(f"1: request {rid} is answered late")
+                self.broken.append(f"1: request {rid} was answered after its deadline")
 
     def cancel(self, rid: int, attempt: int) -> None:
         if not self.settings.limits.cancel or attempt >= self.held[rid].count:
@@ -161,7 +162,7 @@
 
     def probe(self, host: HostId) -> None:
         if not self.settings.limits.probes:
-            self.broken.append("a probe that is not allowed")
+            self.broken.append("a probe that the settings do not allow")
         self.probes.append(host)
 
     def close(self, host: HostId) -> None:
@@ -169,46 +170,46 @@
 
     def send_peer_message(self, peer: int | None, content: bytes) -> None:
         if not self.settings.limits.peers or len(content) > 256:
-            self.broken.append("a message that is not allowed")
+            self.broken.append("a peer message that the settings do not allow or that is too long")
         self.told.append(content)
 
     def log(self, text: str) -> None:
         self.log_lines.append(text)
 
-    # What happens to it.
+    # Events: called by the tests.
 
     def list(self, kind: ListKind, entries: Sequence[HostEntry]) -> None:
-        """Discovery speaks."""
+        """Discovery sends an update, or its call fails."""
         if kind is not ListKind.FAILED:
-            seen = {item.host for item in entries}
-            for item in entries:
-                self.hosts[item.host] = item
+            listed = {host_entry.host for host_entry in entries}
+            for host_entry in entries:
+                self.hosts[host_entry.host] = host_entry
             for host, known in self.hosts.items():
-                ready = known.state is HostState.READY and (kind is ListKind.DELTA or host in seen)
+                ready = known.state is HostState.READY and (kind is ListKind.DELTA or host in listed)
                 if ready:
-                    self.barred.pop(host, None)
+                    self.not_ready_since.pop(host, None)
                 else:
-                    self.barred.setdefault(host, self.now)
+                    self.not_ready_since.setdefault(host, self.now)
         self.module.on_list(self.now, kind, entries)
 
     def request(self, cls: int = 0, ttl_ns: int | None = None, tenant: int = 0, repeat: bool = False) -> int:
-        """A client's request; returns its id."""
+        """Receive a client's request; returns its id."""
         self.rid += 1
-        kind = self.settings.classes[cls]
-        ttl = kind.deadline_ns if ttl_ns is None else ttl_ns
-        self.held[self.rid] = _Held(kind, self.now + ttl)
+        request_class = self.settings.classes[cls]
+        ttl = request_class.deadline_ns if ttl_ns is None else ttl_ns
+        self.held[self.rid] = _RequestRecord(request_class, self.now + ttl)
         self.module.on_request(self.now, self.rid, cls, tenant, 0, ttl, 0, repeat)
         return self.rid
 
     def outcome(self, rid: int, outcome: Outcome, attempt: int | None = None, spent_ns: int | None = None,
                 load: Sequence[float] = ()) -> None:
-        """An attempt ends; by default the oldest that is out."""
+        """End an attempt, by default the oldest in flight."""
         held = self.held[rid]
         number = min(held.out) if attempt is None else attempt
         host = held.out.pop(number)
-        if outcome in HARMLESS:
-            at = next(index for index, pair in enumerate(held.sent) if pair[0] == host)
-            held.sent.pop(at)
+        if outcome in NOT_PROCESSED:
+            position = next(index for index, pair in enumerate(held.sent) if pair[0] == host)
+            held.sent.pop(position)
         if outcome is Outcome.OK and not held.over:
             held.over = True
             self.ends[rid] = "served"
@@ -216,14 +217,14 @@
         self.module.on_outcome(self.now, rid, number, host, outcome, max(spent, 1), held.over, load)
 
     def gone(self, rid: int) -> None:
-        """The client leaves."""
+        """The client disconnects."""
         if not self.held[rid].over:
             self.held[rid].over = True
             self.ends[rid] = "gone"
         self.module.on_client_disconnected(self.now, rid)
 
     def run(self, until_ns: int) -> None:
-        """Time passes, in ticks; due timers ring."""
+        """Advance the clock to `until_ns`, in ticks, and fire the timers that are due."""
         while self.timers:
             due, token = min((at, token) for token, at in self.timers.items())
             if due > until_ns:
@@ -235,16 +236,16 @@
         self.now = max(self.now, until_ns)
         for rid, held in self.held.items():
             if not held.over and self.now > held.deadline + self.settings.rules.answer_slack_ns:
-                self.broken.append(f"1: request {rid} has no answer")
+                self.broken.append(f"1: request {rid} has no response")
                 held.over = True
 
     def hosts_sent(self) -> Counter[HostId]:
-        """Attempts for each server."""
+        """Number of attempts sent to each host."""
         return Counter(host for _, host, _ in self.sends)
 
 
 def settle(gateway: Gateway, requests: int, spent_ns: int, gap_ns: int = 10 * MS, cls: int = 0) -> None:
-    """Requests one after another, each answered well after the given time."""
+    """Run requests one after another; each succeeds after the given time."""
     for _ in range(requests):
         rid = gateway.request(cls)
         gateway.run(gateway.now + spent_ns)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,6 +1,6 @@
-"""Hosts, discovery and clients on loopback sockets, for the tests of the real gateway.
+"""Fake hosts, a fake discovery service and clients on loopback sockets, for tests of the real gateway.
 
-They share no code with the gateway: messages are read and worded here by hand.
+They share no code with the gateway: HTTP messages are parsed and written here independently.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from gateway.timers import now_ns
 from gateway.upstream import REUSE_DELAY_NS
 
-LIMIT_S = 20.0
-"""No test waits longer than this for an event that does not come."""
+TEST_TIMEOUT_S = 20.0
+"""Time limit of one test: a wait for an event that never happens ends here."""
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 SETTINGS: dict[str, Any] = {
     "az": 0, "zones": ["a", "b"], "flavors": ["m"], "replicas-of-me": 1, "round-ns": 5_000_000,
     "discovery": "on_request", "realms": [{"name": "acme", "portion": 1.0}],
     "caps": {"cancel": True, "max-attempts": 5, "may-duplicate": True, "dial-timeout-ns": 250_000_000,
              "conn-idle-ns": 15_000_000_000},
-    "rules": {"ask-within-ns": 200_000_000},   # the module asks at once
+    "rules": {"ask-within-ns": 200_000_000},   # the module calls discovery without a long delay
     "request-classes": [
         {"name": "read", "give-up-ns": 6_000_000_000, "slo-ns": 6_000_000_000, "effect": "read_like"},
         {"name": "keyed", "give-up-ns": 6_000_000_000, "slo-ns": 6_000_000_000,
@@ -40,14 +40,14 @@
 
 
 def play(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a scene on a loop of the kind that the gateway has, bounded in time."""
-    async def bounded() -> None:
-        await asyncio.wait_for(scene(), LIMIT_S)
-    uvloop.run(bounded())
+    """Run an async test on a uvloop event loop, as the gateway uses, with a time limit."""
+    async def run_with_timeout() -> None:
+        await asyncio.wait_for(scene(), TEST_TIMEOUT_S)
+    uvloop.run(run_with_timeout())
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, headers and body of a message with a length."""
+    """Read the first line, the headers and the body of a message with a Content-Length."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -55,22 +55,22 @@
 
 
 class Seen:
-    """A request that has come to a host, and the means to answer it."""
+    """A request that a host has received, with methods to respond to it."""
 
     def __init__(self, first: str, headers: dict[str, str], body: bytes,
                  writer: asyncio.StreamWriter, reader: asyncio.StreamReader,
-                 over: asyncio.Event | None) -> None:
+                 closed_event: asyncio.Event | None) -> None:
         self.first, self.headers, self.body = first, headers, body
-        self.writer, self.reader, self._over = writer, reader, over
+        self.writer, self.reader, self._closed_event = writer, reader, closed_event
 
     def reply(self, data: bytes = OK) -> None:
-        """Write these bytes."""
+        """Write these response bytes."""
         self.writer.write(data)
 
     async def closed(self) -> None:
         """Wait until the gateway has closed this connection."""
-        if self._over is not None:
-            await self._over.wait()
+        if self._closed_event is not None:
+            await self._closed_event.wait()
             return
         try:
             while await self.reader.read(1000):
@@ -80,7 +80,7 @@
 
 
 class FakeHost:
-    """A host; each request that comes goes to `seen`, and to `reply` where one is given."""
+    """A host that queues each request in `seen` and responds with `reply`; with None the test responds itself."""
 
     def __init__(self, name: str = "h0", reply: bytes | None = OK) -> None:
         self.name = name
@@ -98,29 +98,29 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        over = asyncio.Event() if self.reply is not None else None
+        closed_event = asyncio.Event() if self.reply is not None else None
         try:
             while True:
-                seen = Seen(*await read_message(reader), writer, reader, over)
+                seen = Seen(*await read_message(reader), writer, reader, closed_event)
                 self.seen.put_nowait(seen)
                 if self.reply is None:
-                    return   # the test has the connection now
+                    return   # the test uses the connection from here on
                 seen.reply(self.reply)
         except (asyncio.IncompleteReadError, OSError):
             writer.close()
-            if over is not None:
-                over.set()
+            if closed_event is not None:
+                closed_event.set()
 
     def row(self, state: str = "in_service", **more: Any) -> dict[str, Any]:
-        """This host's line in the list."""
+        """This host's entry in discovery's list."""
         return {"instanceId": self.name, "hostPort": self.address, "zone": "a", "machineType": "m", "cell": 0,
                 "lifecycle": state, "weight": 1.0, "startedAtMs": 0, **more}
 
 
 class FakeDiscovery:
-    """Discovery; each call goes to `calls` with the means to write lines to it.
+    """A discovery service that queues each call in `calls`, with the writer of its response.
 
-    `tells`: calls are told first that nothing has changed since version 41.
+    `tells`: each response starts with an update that reports no change since generation 41.
     """
 
     def __init__(self, tells: bool = False) -> None:
@@ -135,7 +135,7 @@
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One call."""
+        """Handle one call."""
         try:
             first, _, _ = await read_message(reader)
             if self._tells:
@@ -148,24 +148,24 @@
 
     @staticmethod
     def head(writer: asyncio.StreamWriter) -> None:
-        """Begin a watch's answer."""
+        """Start the response to a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     @staticmethod
     def line(writer: asyncio.StreamWriter, generation: int, rows: list[dict[str, Any]],
              reset: bool = False) -> None:
-        """Write one line of a watch."""
+        """Write one update of a watch."""
         FakeDiscovery.raw(writer, json.dumps(
             {"generation": generation, "reset": reset, "instances": rows}).encode() + b"\n")
 
     @staticmethod
     def raw(writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write one chunk."""
+        """Write one HTTP chunk."""
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
 
 class Client:
-    """One connection to the gateway."""
+    """One client connection to the gateway."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -175,19 +175,19 @@
         self.writer.write(data)
 
     async def answer(self) -> tuple[int, dict[str, str], bytes]:
-        """The next answer: status, headers, body."""
+        """Read the next response: status, headers, body."""
         first, headers, body = await read_message(self.reader)
         return int(first.split()[1]), headers, body
 
     async def ask(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
-        """Send a request and wait for its answer."""
+        """Send a request and wait for its response."""
         self.send(data)
         return await self.answer()
 
 
 def request(cls: str = "read", rid: str = "r1", drop: str = "", body: bytes = b"", path: str = "/x?q=1",
             **headers: str) -> bytes:
-    """A request as a client words it; `drop` leaves a header out, `_` in a name stands for `-`."""
+    """The bytes of a client's request; `drop` leaves out one header, `_` in a header name stands for `-`."""
     lines = {"Host": "app.svc", "X-Request-ID": rid, "X-Priority-Class": cls, "X-Tenant-Id": "acme",
              "X-Timeout-Ms": "6000"}
     if cls == "keyed":
@@ -202,7 +202,7 @@
 
 
 class Stage(AsyncExitStack):
-    """A gateway with its hosts and discovery; everything ends with it."""
+    """A running gateway with its fake hosts and discovery; leaving the context closes everything."""
 
     gateway: Gateway
     discovery: FakeDiscovery
@@ -210,7 +210,7 @@
 
     async def begin(self, *hosts: FakeHost, rows: list[dict[str, Any]] | None = None,
                     make: DecisionsFactory = Balancer, told: dict[str, Any] | None = None, **settings: Any) -> Stage:
-        """Start a gateway that knows these hosts."""
+        """Start a gateway whose configured list has these hosts, or `rows` where they are given."""
         self.discovery = await FakeDiscovery().start()
         for host in hosts:
             await host.start()
@@ -224,13 +224,13 @@
             json.dump(config, file)
             file.flush()
             self.gateway = Gateway(Config({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(),
-                                   make, first_list_wait_ns=0)   # tests answer the calls, or leave them
+                                   make, first_list_wait_ns=0)   # a test may leave discovery calls unanswered
         self.where = await self.gateway.start()
-        self._take_the_known_list_for_told()
+        self._mark_configured_list_up_to_date()
         return self
 
-    def _take_the_known_list_for_told(self) -> None:
-        """What these tests are about comes after that: their discovery tells nothing by itself."""
+    def _mark_configured_list_up_to_date(self) -> None:
+        """Report the configured list as up to date, because the fake discovery sends nothing by itself."""
         lease, now = self.gateway.discovery.lease, now_ns()
         lease.on_discovery_reached(now)
         lease.on_watch_opened()
@@ -238,17 +238,17 @@
         self.gateway.core.on_lease()
 
     async def client(self) -> Client:
-        """A new connection to the gateway."""
+        """Open a new connection to the gateway."""
         return Client(*await asyncio.open_connection(*self.where))
 
 
 async def until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
-    """Let the loop turn until this holds; the scene's bound ends a wait in vain."""
+    """Run the event loop until `ready` holds; the time limit of `play` ends a wait that never succeeds."""
     while not ready():
         await (step() if step is not None else asyncio.sleep(0))
 
 
 async def rested() -> None:
-    """Until a connection to a host that has just given its answer may be used again."""
-    over = now_ns() + REUSE_DELAY_NS
-    await until(lambda: now_ns() > over)
+    """Wait until a host connection whose response has just ended may be reused."""
+    reusable_at = now_ns() + REUSE_DELAY_NS
+    await until(lambda: now_ns() > reusable_at)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,7 @@
-"""Long messages and the forms of HTTP/1.1, over loopback sockets: streamed, bounded, never cut."""
+"""Tests of long messages and HTTP/1.1 framing over loopback sockets.
+
+Long bodies are streamed with bounded memory and are never truncated unnoticed.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +25,8 @@
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class RefusesWhatIsFull(Sends):
-    """A module that does not try again."""
+class RefusesAfterFull(Sends):
+    """Refuses a request after `Outcome.FULL` instead of retrying it."""
 
     def on_outcome(self, *args: Any) -> None:
         if Outcome.FULL in args:
@@ -31,13 +34,13 @@
 
 
 def chunks(data: bytes, size: int = 50_000, extension: bytes = b"") -> bytes:
-    """A body in chunks, up to the last but one."""
+    """A chunked body without its last chunk (the one of size 0)."""
     return b"".join(b"%x%b\r\n%b\r\n" % (len(part), extension, part)
-                    for part in (data[at:at + size] for at in range(0, len(data), size)))
+                    for part in (data[start:start + size] for start in range(0, len(data), size)))
 
 
 async def read_chunks(reader: asyncio.StreamReader) -> bytes:
-    """A chunked body, its trailers thrown away."""
+    """Read a chunked body and discard its trailers."""
     body = b""
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
         body += await reader.readexactly(size)
@@ -47,29 +50,29 @@
     return body
 
 
-async def head(client: Client) -> bytes:
-    """The head of an answer."""
+async def read_head(client: Client) -> bytes:
+    """Read the head of a response, in lower case."""
     return (await client.reader.readuntil(b"\r\n\r\n")).lower()
 
 
-def test_a_long_body_goes_on_whole() -> None:
+def test_long_request_body_is_forwarded_completely() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
             await stage.begin(host, told=OPERATOR)
             client = await stage.client()
-            for number in range(2):   # the connections can be used again
+            for number in range(2):   # twice: both connections can be reused
                 assert (await client.ask(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
                 seen = await host.seen.get()
                 assert (seen.body, seen.headers["content-length"]) == (LONG, str(len(LONG)))
                 await rested()
             assert host.connections == 1
-            told = await figures(stage)
-            assert (told["upstream_requests"], told["downstream_requests.keyed.completed"]) == (2, 2)
+            metrics = await figures(stage)
+            assert (metrics["upstream_requests"], metrics["downstream_requests.keyed.completed"]) == (2, 2)
     play(scene)
 
 
-def test_a_long_body_in_chunks_goes_on_in_chunks() -> None:
+def test_long_chunked_request_body_is_forwarded_in_chunks() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -85,7 +88,7 @@
     play(scene)
 
 
-def test_pieces_of_any_size_make_the_same_requests() -> None:
+def test_requests_that_arrive_byte_by_byte_are_parsed_correctly() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -94,8 +97,8 @@
             data = (request("once", rid="r0", body=b"x" * 50)
                     + request("once", rid="r1", drop="Content-Length", Transfer_Encoding="chunked")
                     + chunks(b"y" * 50, 7, b";q=1") + b"0\r\nT: 1\r\n\r\n" + request(rid="r2"))
-            for at in range(len(data)):
-                client.send(data[at:at + 1])
+            for position in range(len(data)):
+                client.send(data[position:position + 1])
                 await client.writer.drain()
                 await asyncio.sleep(0)
             for body in (b"x" * 50, b"y" * 50, b""):
@@ -104,7 +107,7 @@
     play(scene)
 
 
-def test_a_client_that_expects_is_told_to_go_on_in_its_turn() -> None:
+def test_100_continue_is_sent_after_the_responses_of_earlier_requests() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -113,7 +116,7 @@
             long = request("once", rid="r1", body=LONG, Expect="100-continue")
             client.send(request(rid="r0") + long.removesuffix(LONG))
             (await host.seen.get()).reply(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-            assert (await client.answer())[0] == 200   # its answer first
+            assert (await client.answer())[0] == 200   # the earlier request is answered first
             assert await client.reader.readexactly(25) == b"HTTP/1.1 100 Continue\r\n\r\n"
             client.send(LONG)
             seen = await host.seen.get()
@@ -123,7 +126,7 @@
     play(scene)
 
 
-def test_white_space_around_a_value_is_no_part_of_it() -> None:
+def test_white_space_around_header_values_is_ignored() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -140,7 +143,7 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_a_long_answer_comes_whole_in_every_form(framing: str, version: bytes) -> None:
+def test_long_response_is_forwarded_completely_in_every_framing(framing: str, version: bytes) -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -155,22 +158,25 @@
             else:
                 seen.reply(b"HTTP/1.1 200 OK\r\n\r\n" + LONG)
                 seen.writer.close()
-            told = await head(client)
-            if b"transfer-encoding: chunked" in told:
+            response_head = await read_head(client)
+            if b"transfer-encoding: chunked" in response_head:
                 assert version == b"1.1"
                 assert await read_chunks(client.reader) == LONG
-            elif b"content-length" in told:
+            elif b"content-length" in response_head:
                 assert await client.reader.readexactly(len(LONG)) == LONG
             else:
-                assert b"connection: close" in told
+                assert b"connection: close" in response_head
                 assert await client.reader.read(-1) == LONG
             assert (await figures(stage))["downstream_requests.read.completed"] == 1
     play(scene)
 
 
-def test_a_long_answer_that_comes_late_is_not_cut_before_its_length_is_known(
+def test_late_response_of_unknown_length_is_not_truncated_at_the_deadline(
         monkeypatch: pytest.MonkeyPatch) -> None:
-    """It was held to the end of the client's time, when the request was given up."""
+    """Guards against buffering the response up to the client's deadline, at which the request fails.
+
+    The gateway buffers the start of a response of unknown length; here for longer than the client waits.
+    """
     monkeypatch.setattr(upstream, "UNKNOWN_LENGTH_BUFFER_NS", 10 * SECOND)
 
     async def scene() -> None:
@@ -181,7 +187,7 @@
             client.send(request(X_Timeout_Ms="900"))
             seen = await host.seen.get()
             seen.reply(CHUNKED + chunks(b"first"))
-            assert b" 200 " in await head(client)
+            assert b" 200 " in await read_head(client)
             seen.reply(chunks(LONG) + b"0\r\n\r\n")
             assert await read_chunks(client.reader) == b"first" + LONG
     play(scene)
@@ -189,7 +195,7 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_a_long_answer_that_breaks_can_be_told(framing: str, version: bytes) -> None:
+def test_client_can_detect_a_truncated_long_response(framing: str, version: bytes) -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -202,10 +208,10 @@
             else:
                 seen.reply(CHUNKED + chunks(LONG))
             seen.writer.close()
-            await head(client)
+            await read_head(client)
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 if framing == "length" or version == b"1.0":
-                    await client.reader.readexactly(2 * len(LONG))   # a plain end would look whole to 1.0
+                    await client.reader.readexactly(2 * len(LONG))   # to HTTP/1.0 a close looks complete
                     assert version == b"1.1"
                 else:
                     await read_chunks(client.reader)
@@ -213,7 +219,7 @@
     play(scene)
 
 
-def test_a_client_that_does_not_read_holds_its_host_back_and_nobody_else() -> None:
+def test_client_that_does_not_read_slows_down_only_its_own_host() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             slow = FakeHost(reply=None)
@@ -227,14 +233,14 @@
             conn = next(iter(server._connections))
             await until(lambda: bool(conn._write_blocked_since))
             assert conn.transport is not None
-            assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest waits at the host
+            assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest stays at the host
             assert (await (await stage.client()).ask(HEALTH))[0] == 200
-            await head(client)
+            await read_head(client)
             assert await client.reader.readexactly(len(long)) == long
     play(scene)
 
 
-def test_a_body_over_the_bound_gets_413_and_its_host_no_end() -> None:
+def test_body_over_the_size_limit_gets_413_and_the_host_gets_no_complete_body() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -254,7 +260,7 @@
     play(scene)
 
 
-def test_a_client_that_leaves_takes_its_body_with_it() -> None:
+def test_disconnect_during_a_request_body_closes_the_host_connection() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -268,11 +274,11 @@
     play(scene)
 
 
-def test_a_refusal_in_the_middle_of_a_body_leaves_the_connection_usable() -> None:
+def test_connection_stays_usable_after_503_during_a_request_body() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
-            await stage.begin(host, make=RefusesWhatIsFull)
+            await stage.begin(host, make=RefusesAfterFull)
             client = await stage.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked") + chunks(LONG))
             (await host.seen.get()).reply(FULL)
@@ -283,7 +289,7 @@
     play(scene)
 
 
-def test_a_body_is_judged_by_its_progress() -> None:
+def test_request_body_without_progress_gets_408() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -296,55 +302,55 @@
             await until(lambda: len(server._connections) == 2 and all(
                 conn._body_started_at for conn in server._connections)
                 and max(conn._received for conn in server._connections) == 200_000)
-            server.sweep(now_ns() + HEAD_TIMEOUT_NS + SECOND)   # 3.4 s for what 6 s are given for
+            server.sweep(now_ns() + HEAD_TIMEOUT_NS + SECOND)   # 3.4 s, while the timeout of the request is 6 s
             assert (await stalled.answer())[0] == 408
             assert not steady.reader.at_eof()
     play(scene)
 
 
-class Sinking:
-    """A host's connection."""
+class FakeSink:
+    """Stands in for the connection to a host."""
 
     def __init__(self) -> None:
-        self.got = b""
+        self.written = b""
         self.write_blocked = False
         self.ended = False
 
     def write_body(self, data: bytes) -> None:
-        self.got += data
+        self.written += data
 
     def finish_body(self) -> None:
         self.ended = True
 
 
-def test_a_body_can_be_sent_again_until_more_has_come_than_is_kept() -> None:
-    bound = []
-    body, first, second = Body(None, b"a" * (MAX_REPLAY_BYTES - 10), lambda: None), Sinking(), Sinking()
-    body.on_committed = lambda: bound.append(True)
-    first.got += body.attach(first)
+def test_body_can_be_replayed_until_it_exceeds_the_replay_buffer() -> None:
+    committed = []
+    body, first, second = Body(None, b"a" * (MAX_REPLAY_BYTES - 10), lambda: None), FakeSink(), FakeSink()
+    body.on_committed = lambda: committed.append(True)
+    first.written += body.attach(first)
     body.feed(b"b" * 10)
     body.detach(first)
-    assert body.full   # nothing more is read before a host takes it
-    second.got += body.attach(second)
-    assert second.got == first.got == b"a" * (MAX_REPLAY_BYTES - 10) + b"b" * 10
-    assert not bound
+    assert body.full   # nothing more is read until a host takes the body
+    second.written += body.attach(second)
+    assert second.written == first.written == b"a" * (MAX_REPLAY_BYTES - 10) + b"b" * 10
+    assert not committed
     body.feed(b"c")
-    assert bound and not body.replay_buffer
+    assert committed and not body.replay_buffer
     second.write_blocked = True
     assert body.full
     body.finish()
-    assert (second.got[-1:], second.ended) == (b"c", True)
+    assert (second.written[-1:], second.ended) == (b"c", True)
 
 
-def test_many_streams_share_the_room() -> None:
+def test_streams_share_the_memory_budget() -> None:
     stream_budget = StreamBudget(48 << 20)
-    alone = stream_budget.read_bytes()
+    single_stream_bytes = stream_budget.read_bytes()
     stream_budget.streams = 600
-    assert 8 * 1024 <= stream_budget.read_bytes() < alone == 64 * 1024
+    assert 8 * 1024 <= stream_budget.read_bytes() < single_stream_bytes == 64 * 1024
     assert stream_budget.full and 4 * stream_budget.read_bytes() * stream_budget.streams <= stream_budget.max_bytes
 
 
-def test_without_room_a_long_body_is_refused_unsent() -> None:
+def test_long_body_over_the_memory_budget_gets_503_and_is_not_sent() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -358,5 +364,5 @@
     play(scene)
 
 
-def test_slow_heads_have_their_time() -> None:
+def test_head_timeout_is_between_two_and_three_seconds() -> None:
     assert 2 * SECOND < HEAD_TIMEOUT_NS <= 3 * SECOND - SWEEP_INTERVAL_NS
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Clients' side and the core, over loopback sockets: exactly one answer, whatever comes."""
+"""Tests of the gateway's client side and core over loopback sockets: each request gets exactly one response."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from gateway.upstream import Connection
 from tests.sockets import OK, SETTINGS, FakeHost, Stage, play, request, rested, until
 
-STALL = 900 * MS
-"""A busy machine may stand still for so long: the verdict must not depend on it."""
+PAUSE_MARGIN_NS = 900 * MS
+"""Margin for a pause of a busy machine, which must not make a test fail."""
 KEYED = request("keyed", body=b"some body", Content_Type="text/plain", Connection="X-Hop", X_Hop="1")
 
 
-class Stub:
-    """A module that does as a test says: one action at each request."""
+class StubModule:
+    """A decision module for tests: performs one action for each request."""
 
     def __init__(self, settings: Settings, salt: int, actions: Actions) -> None:
         self.actions = actions
@@ -36,25 +36,25 @@
         self.act(rid)
 
     def act(self, rid: int) -> None:
-        """Nothing."""
+        """Perform the action of this module; here none."""
 
 
-class Refuses(Stub):
+class Refuses(StubModule):
     def act(self, rid: int) -> None:
         self.actions.refuse(rid, 1250 * MS)
 
 
-class Fails(Stub):
+class Fails(StubModule):
     def act(self, rid: int) -> None:
         self.actions.fail(rid)
 
 
-class Raises(Stub):
+class RaisesOnRequest(StubModule):
     def act(self, rid: int) -> None:
         raise RuntimeError("on purpose")
 
 
-class RaisesLater(Stub):
+class RaisesOnOutcome(StubModule):
     def act(self, rid: int) -> None:
         self.actions.send(rid, "h0", 0)
 
@@ -62,40 +62,40 @@
         raise RuntimeError("on purpose")
 
 
-class Sends(Stub):
+class Sends(StubModule):
     def act(self, rid: int) -> None:
         self.actions.send(rid, "h0", 0)
 
 
-class TwoCopies(Stub):
+class SendsTwoAttempts(StubModule):
     def act(self, rid: int) -> None:
         self.actions.send(rid, "h0", 0)
         self.actions.send(rid, "h0", 0)
 
 
-class SendsAfterItsAnswer(Stub):
-    """Also asks for an answer twice, and from inside an event that its own action causes."""
+class SendsAfterResponse(StubModule):
+    """Also ends the request twice, and acts while its own actions cause further events."""
 
     def __init__(self, settings: Settings, salt: int, actions: Actions) -> None:
         super().__init__(settings, salt, actions)
-        self.depth = self.deepest = 0
+        self.depth = self.max_depth = 0
         self.outcomes: list[Any] = []
 
     def act(self, rid: int) -> None:
         self.depth += 1
-        self.deepest = max(self.deepest, self.depth)
-        self.actions.send(rid, "nowhere", 0)   # ends at once
+        self.max_depth = max(self.max_depth, self.depth)
+        self.actions.send(rid, "nowhere", 0)   # fails immediately
         self.actions.fail(rid)
         self.actions.refuse(rid, 0)
         self.actions.send(rid, "h0", 0)
         self.depth -= 1
 
     def on_outcome(self, now_ns: int, rid: int, attempt: int, host: str, outcome: Any, *args: Any) -> None:
-        self.deepest = max(self.deepest, self.depth + 1)
+        self.max_depth = max(self.max_depth, self.depth + 1)
         self.outcomes.append((attempt, host, outcome.name))
 
 
-def test_a_request_goes_on_unchanged() -> None:
+def test_request_is_forwarded_unchanged_except_for_hop_by_hop_headers() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -111,19 +111,19 @@
     play(scene)
 
 
-def test_ready_only_once_a_host_is_known() -> None:
+def test_readiness_is_503_until_a_host_is_known() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = await FakeHost().start()
             await stage.begin(rows=[])
             client = await stage.client()
-            ask = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-            assert (await client.ask(ask))[0] == 503
+            check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+            assert (await client.ask(check))[0] == 503
             _, writer = await stage.discovery.calls.get()
             stage.discovery.head(writer)
             stage.discovery.line(writer, 42, [host.row()])
             await until(lambda: stage.gateway.core.has_hosts)
-            assert (await client.ask(ask))[0] == 200
+            assert (await client.ask(check))[0] == 200
     play(scene)
 
 
@@ -162,7 +162,7 @@
     (431, request(drop="Host").replace(b"\r\n\r\n", b"\r\nX: x" * 200 + b"\r\n\r\n")),
     (431, b"GET /" + b"x" * 70000),
 ])
-def test_bad_input_gets_an_error_and_nothing_is_sent(status: int, data: bytes) -> None:
+def test_invalid_request_gets_an_error_and_is_not_forwarded(status: int, data: bytes) -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -174,7 +174,7 @@
     play(scene)
 
 
-def test_a_body_at_the_limit_passes_both_ways() -> None:
+def test_body_of_the_replay_buffer_size_is_forwarded_both_ways() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             body = bytes(range(256)) * 256
@@ -185,7 +185,7 @@
     play(scene)
 
 
-def test_pipelined_requests_are_answered_in_their_order() -> None:
+def test_pipelined_responses_keep_the_order_of_the_requests() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -193,14 +193,14 @@
             client = await stage.client()
             client.send(b"".join(request(rid=f"r{n}") for n in range(3)))
             seen = [await host.seen.get() for _ in range(3)]
-            for item in reversed(seen):
-                text = item.headers["x-request-id"].encode()
-                item.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + text)
+            for pending in reversed(seen):
+                text = pending.headers["x-request-id"].encode()
+                pending.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + text)
             assert [(await client.answer())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
     play(scene)
 
 
-def test_many_pipelined_requests_all_get_their_answer() -> None:
+def test_each_of_many_pipelined_requests_gets_a_response() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
@@ -211,7 +211,7 @@
     play(scene)
 
 
-def test_a_half_closed_client_gets_its_answer() -> None:
+def test_half_closed_client_gets_its_response() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -225,7 +225,7 @@
     play(scene)
 
 
-def test_nothing_new_is_sent_for_a_client_that_has_ended_its_sending() -> None:
+def test_no_retry_is_sent_for_a_half_closed_client() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -241,7 +241,7 @@
     play(scene)
 
 
-def test_a_client_that_has_gone_takes_its_attempts_along() -> None:
+def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -257,7 +257,7 @@
     play(scene)
 
 
-def test_an_open_id_is_not_taken_twice() -> None:
+def test_request_id_of_an_open_request_is_rejected() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -270,33 +270,33 @@
             assert (await first.answer())[0] == 200
             await rested()
             second.send(request())
-            assert (await seen.reader.readline()).startswith(b"GET ")   # once it is over, it may come again
+            assert (await seen.reader.readline()).startswith(b"GET ")   # the id is free again
     play(scene)
 
 
 @pytest.mark.parametrize(("module", "status", "advice"), [
-    (Refuses, 503, "1.250"), (Fails, 502, None), (Raises, 502, None), (RaisesLater, 200, None),
-    (Stub, 502, None),   # the last never answers: the gateway does, in the client's time
+    (Refuses, 503, "1.250"), (Fails, 502, None), (RaisesOnRequest, 502, None), (RaisesOnOutcome, 200, None),
+    (StubModule, 502, None),   # this module never acts: the gateway responds before the client's deadline
 ])
-def test_exactly_one_answer_whatever_the_module_does(module: type[Stub], status: int,
+def test_exactly_one_response_whatever_the_module_does(module: type[StubModule], status: int,
                                                      advice: str | None) -> None:
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), make=module)
-            client, begun = await stage.client(), now_ns()
+            client, sent_at = await stage.client(), now_ns()
             got, headers, _ = await client.ask(request(X_Timeout_Ms="1000"))
             assert (got, headers.get("retry-after")) == (status, advice)
-            assert now_ns() - begun < 1000 * MS + STALL
-            assert (await client.ask(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # nothing between
+            assert now_ns() - sent_at < 1000 * MS + PAUSE_MARGIN_NS
+            assert (await client.ask(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # no extra response
             assert not stage.gateway.core.open_requests()
     play(scene)
 
 
-def test_the_other_copy_is_cancelled_when_one_is_served() -> None:
+def test_other_attempt_is_cancelled_when_one_succeeds() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
-            await stage.begin(host, make=TwoCopies)
+            await stage.begin(host, make=SendsTwoAttempts)
             client = await stage.client()
             client.send(request())
             first, second = await host.seen.get(), await host.seen.get()
@@ -307,26 +307,26 @@
     play(scene)
 
 
-def test_after_the_answer_nothing_is_sent_and_no_event_is_nested() -> None:
+def test_nothing_is_sent_after_the_response_and_events_do_not_nest() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
-            modules: list[SendsAfterItsAnswer] = []
+            modules: list[SendsAfterResponse] = []
 
             def make(settings: Settings, salt: int, actions: Actions) -> Any:
-                modules.append(SendsAfterItsAnswer(settings, salt, actions))
+                modules.append(SendsAfterResponse(settings, salt, actions))
                 return modules[0]
             await stage.begin(host, make=make)
             client = await stage.client()
             assert (await client.ask(request()))[0] == 502
             assert (await client.ask(request(rid="r2")))[0] == 502
             assert host.seen.empty()
-            assert modules[0].deepest == 1
+            assert modules[0].max_depth == 1
             assert modules[0].outcomes[:2] == [(0, "nowhere", "CONNECT_FAILED"), (1, "h0", "MOOT")]
     play(scene)
 
 
-def test_slow_and_silent_clients_are_closed() -> None:
+def test_slow_request_gets_408_and_idle_connection_is_closed() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
@@ -343,8 +343,11 @@
 
 @pytest.mark.parametrize("begun", [b"", b"\r\n", b"GET /read/x HTTP/1.1\r\nX-Request-ID",
                                    b"POST /keyed/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nfour"])
-def test_a_peer_without_a_proper_request_is_told_or_closed_within_three_seconds(begun: bytes) -> None:
-    """Silent ones were kept for 90 s and slow ones for 10 s, and each held a descriptor."""
+def test_connection_without_a_complete_request_ends_within_three_seconds(begun: bytes) -> None:
+    """Guards against connections that occupy a descriptor for long without a complete request.
+
+    With a longer limit, silent connections stay open for 90 s and slow ones for 10 s.
+    """
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
@@ -357,19 +360,19 @@
             (conn,) = stage.gateway.server._connections
             await until(lambda: peer.writer.transport.get_write_buffer_size() == 0
                         and conn.transport is not None
-                        and not pending_events(conn.transport))   # all has come and is read
-            stage.gateway.server.sweep(connected + 2500 * MS)   # swept twice a second
+                        and not pending_events(conn.transport))   # all bytes have arrived and are read
+            stage.gateway.server.sweep(connected + 2500 * MS)   # the gateway sweeps twice a second
             assert conn.transport is not None
-            assert conn.discarding or conn.transport.is_closing()     # at once, not by a later sweep
+            assert conn.discarding or conn.transport.is_closing()     # in this sweep, not in a later one
             try:
-                told = await peer.reader.read()
-            except ConnectionResetError:   # closed before what came was read
-                told = b""
-            assert told.startswith(b"HTTP/1.1 408" if len(begun) > 2 else b"")
+                received = await peer.reader.read()
+            except ConnectionResetError:   # closed while received bytes were unread
+                received = b""
+            assert received.startswith(b"HTTP/1.1 408" if len(begun) > 2 else b"")
     play(scene)
 
 
-def test_too_many_connections_are_told_so() -> None:
+def test_connection_over_the_limit_gets_503() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -388,7 +391,7 @@
     play(scene)
 
 
-def test_an_upgrade_is_passed_over() -> None:
+def test_upgrade_request_is_handled_as_plain_http() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(reply=OK))
@@ -398,7 +401,7 @@
     play(scene)
 
 
-def test_an_expectant_client_is_told_to_go_on() -> None:
+def test_expect_100_continue_gets_an_interim_response() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
@@ -411,7 +414,7 @@
     play(scene)
 
 
-def test_pipelined_requests_are_all_answered_at_a_planned_stop() -> None:
+def test_pipelined_requests_are_answered_during_a_graceful_stop() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -429,7 +432,7 @@
     play(scene)
 
 
-def test_trailers_are_no_headers() -> None:
+def test_trailers_are_not_forwarded_as_headers() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -443,8 +446,8 @@
     play(scene)
 
 
-class Probes(Stub):
-    """Probes at each request, and tells the answer to its peers."""
+class Probes(StubModule):
+    """Probes a host for each request and sends the result to its peers."""
 
     def act(self, rid: int) -> None:
         self.rid = rid
@@ -459,16 +462,16 @@
         self.actions.send(self.rid, "h0", 0) if content == b"h0 OK (7.0,)" and peer == 0 else None
 
 
-def test_probes_and_peers_where_the_settings_allow_them() -> None:
+def test_probes_and_peer_messages_work_where_the_settings_allow_them() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"inflight":7}')
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
                 free.bind(("127.0.0.1", 0))
-                own = f"127.0.0.1:{free.getsockname()[1]}"
+                own_address = f"127.0.0.1:{free.getsockname()[1]}"
             settings = {**SETTINGS, "caps": {**SETTINGS["caps"], "probes": True, "peers": True},
                         "load-report": {"source": "on_probe", "columns": ["outstanding"]}}
-            told = {"peer_listen": own, "peers": [own], "settings": settings}
+            told = {"peer_listen": own_address, "peers": [own_address], "settings": settings}
             await stage.begin(host, make=Probes, told=told)
             assert (await (await stage.client()).ask(request()))[0] == 200
             assert (await host.seen.get()).first == "GET /stats HTTP/1.1"
@@ -476,7 +479,7 @@
     play(scene)
 
 
-def test_no_probe_where_the_settings_allow_none() -> None:
+def test_no_probe_is_sent_where_the_settings_forbid_probes() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -486,8 +489,11 @@
     play(scene)
 
 
-def test_connections_that_have_ended_leave_nothing_for_the_collector() -> None:
-    """Each stayed in a cycle with its parser: memory grew by what had closed until all was searched."""
+def test_closed_connections_leave_no_reference_cycles() -> None:
+    """Guards against a reference cycle between a connection and its parser.
+
+    With such a cycle, closed connections stay in memory until a full garbage collection.
+    """
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
@@ -496,10 +502,10 @@
             assert (await client.ask(request()))[0] == 200
             client.writer.close()
             await until(lambda: not stage.gateway.server.connection_count and not stage.gateway.upstream._connections)
-            stage.gateway.timers._heap.clear()   # they name it until they ring
+            stage.gateway.timers._heap.clear()   # timers refer to the connection until they fire
             for _ in range(3):
                 await asyncio.sleep(0)
-            gateway = stage.gateway   # what other tests have left is not looked at
+            gateway = stage.gateway   # objects that other tests left behind are not counted
             assert not [item for item in gc.get_objects()
                         if (isinstance(item, ClientConnection) and item.server is gateway.server)
                         or (isinstance(item, Connection) and item._pool is gateway.upstream)]
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts, outcomes and the pool, over loopback sockets."""
+"""Tests of attempts, their outcomes and the connection pool over loopback sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.sockets import OK, FakeHost, Stage, play, request, rested
 
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
-TURNED_AWAY = b"Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+NOT_PROCESSED = b"Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class Bench:
@@ -40,7 +40,7 @@
         result: asyncio.Future[tuple[Outcome, Response | None]] = asyncio.get_running_loop().create_future()
         now = now_ns()
         attempt = Attempt("h0", 0, (HEAD + b"Content-Length: %d\r\n" % len(body), body), now, now + within,
-                          lambda _, outcome, answer: result.set_result((outcome, answer)))
+                          lambda _, outcome, response: result.set_result((outcome, response)))
         self.timers.at(attempt.expires_at, self.expire, attempt)
         self.upstream.start(attempt)
         return attempt, result
@@ -52,7 +52,7 @@
 
 @contextmanager
 def in_hand(bench: Bench, receive: int = 0) -> Iterator[socket.socket]:
-    """A host whose connections the test accepts by itself; `receive` bounds what the kernel takes for it."""
+    """A host whose connections the test accepts itself; `receive` limits the kernel's receive buffer, bytes."""
     with socket.socket() as listener:
         if receive:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -64,24 +64,24 @@
 
 
 def silent_listener() -> tuple[socket.socket, list[socket.socket], str]:
-    """A listener whose queue is full: new connections to it never come up."""
+    """A listener whose accept queue is full: further connections to it are not established."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
-    fill = []
+    queued = []
     for _ in range(3):
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
-        fill.append(sock)
-    return listener, fill, f"127.0.0.1:{listener.getsockname()[1]}"
+        queued.append(sock)
+    return listener, queued, f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-async def all_silent(listener: socket.socket, fill: list[socket.socket], wait_s: float = 0.3) -> None:
-    """Let in whoever still waits at a silent listener: each must end without a word."""
+async def all_silent(listener: socket.socket, queued: list[socket.socket], wait_s: float = 0.3) -> None:
+    """Accept the connections that wait at a `silent_listener`: each must be closed without a byte sent."""
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
-    for sock in fill:
+    for sock in queued:
         sock.close()
     while True:
         try:
@@ -92,7 +92,7 @@
             assert await loop.sock_recv(conn, 100) == b""
 
 
-def test_a_connection_is_used_again() -> None:
+def test_host_connection_is_reused() -> None:
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -112,9 +112,9 @@
     (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", False, Outcome.ERROR),
     (b"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", False, Outcome.ERROR),
     (b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", False, Outcome.REJECTED),
-    (b"HTTP/1.1 503 " + TURNED_AWAY, False, Outcome.FULL),
-    (b"HTTP/1.1 504 " + TURNED_AWAY, False, Outcome.FULL),
-    (b"HTTP/1.1 500 " + TURNED_AWAY, False, Outcome.ERROR),
+    (b"HTTP/1.1 503 " + NOT_PROCESSED, False, Outcome.FULL),
+    (b"HTTP/1.1 504 " + NOT_PROCESSED, False, Outcome.FULL),
+    (b"HTTP/1.1 500 " + NOT_PROCESSED, False, Outcome.ERROR),
     (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", False, Outcome.ERROR),
     (b"HTTP/1.1 503 No\r\nX-Not-Processed: 0\r\nContent-Length: 0\r\n\r\n", False, Outcome.ERROR),
     (b"", True, Outcome.RESET),
@@ -135,7 +135,7 @@
     (b"HTTP/1.1 101 Up\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", False, Outcome.RESET),
     (b"noise\r\n\r\n", False, Outcome.RESET),
 ])
-def test_outcomes_are_those_of_the_table(reply: bytes, closes: bool, outcome: Outcome) -> None:
+def test_host_response_determines_the_outcome(reply: bytes, closes: bool, outcome: Outcome) -> None:
     async def scene() -> None:
         bench, host = Bench(), await FakeHost(reply=None).start()
         bench.tell(host.address)
@@ -144,36 +144,36 @@
         seen.reply(reply)
         if closes:
             seen.writer.close()
-        got, answer = await result
-        assert got is outcome
-        assert (answer.body if answer else None) == (b"done" if outcome is Outcome.OK else None)
+        actual, response = await result
+        assert actual is outcome
+        assert (response.body if response else None) == (b"done" if outcome is Outcome.OK else None)
     play(scene)
 
 
-def test_a_refused_connection_could_not_connect() -> None:
+def test_refused_connection_is_connect_failed() -> None:
     async def scene() -> None:
         bench = Bench()
         with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))   # bound, but nobody listens
+            free.bind(("127.0.0.1", 0))   # bound, but not listening
             bench.tell(f"127.0.0.1:{free.getsockname()[1]}")
             assert (await bench.start()[1])[0] is Outcome.CONNECT_FAILED
     play(scene)
 
 
 @pytest.mark.parametrize("within", [9 * SECOND, 100 * MS])
-def test_a_connection_that_comes_up_late_sends_nothing(within: int) -> None:
+def test_nothing_is_sent_on_a_connection_established_too_late(within: int) -> None:
     async def scene() -> None:
         bench = Bench()
-        listener, fill, address = silent_listener()
+        listener, queued, address = silent_listener()
         with listener:
             bench.tell(address)
             _, result = bench.start(within)
             assert (await result)[0] is Outcome.CONNECT_FAILED
-            await all_silent(listener, fill)
+            await all_silent(listener, queued)
     play(scene)
 
 
-def test_a_host_that_drains_while_the_connection_comes_up_gets_nothing() -> None:
+def test_nothing_is_sent_to_a_host_that_drains_during_connect() -> None:
     async def scene() -> None:
         bench, host = Bench(), await FakeHost().start()
         bench.tell(host.address)
@@ -184,19 +184,19 @@
     play(scene)
 
 
-def test_what_breaks_before_its_last_byte_is_written_never_ran() -> None:
+def test_reset_before_the_last_byte_is_written_is_connect_failed() -> None:
     async def scene() -> None:
         bench, loop = Bench(), asyncio.get_running_loop()
         with in_hand(bench, 4096) as listener:
             _, result = bench.start(body=b"x" * 20_000_000)
             conn, _ = await loop.sock_accept(listener)
             await loop.sock_recv(conn, 100)
-            conn.close()   # with bytes unread: a reset
+            conn.close()   # bytes are unread, so the kernel sends a reset
             assert (await result)[0] is Outcome.CONNECT_FAILED
     play(scene)
 
 
-def test_a_partly_written_request_that_times_out_never_ran() -> None:
+def test_timeout_before_the_last_byte_is_written_is_connect_failed() -> None:
     async def scene() -> None:
         bench, loop = Bench(), asyncio.get_running_loop()
         with in_hand(bench) as listener:
@@ -207,7 +207,7 @@
     play(scene)
 
 
-def test_an_attempt_that_ends_closes_its_connection() -> None:
+def test_cancelled_or_timed_out_attempt_closes_its_connection() -> None:
     async def scene() -> None:
         bench, host = Bench(), await FakeHost(reply=None).start()
         bench.tell(host.address)
@@ -224,11 +224,11 @@
     play(scene)
 
 
-def test_a_cancelled_connect_leaves_nothing_behind() -> None:
+def test_cancelled_connects_do_not_use_up_the_connection_limit() -> None:
     async def scene() -> None:
         bench, host = Bench(), await FakeHost().start()
         bench.tell(host.address)
-        for _ in range(40):   # more than the bound of 20
+        for _ in range(40):   # more than the limit of 20 connections
             attempt, result = bench.start()
             bench.upstream.cancel(attempt)
             assert (await result)[0] is Outcome.CANCELLED
@@ -237,7 +237,7 @@
 
 
 @pytest.mark.parametrize("change", ["restart", "move", "gone"])
-def test_old_sockets_of_a_host_that_is_another_are_not_used(change: str) -> None:
+def test_connections_of_a_replaced_host_are_closed_and_not_reused(change: str) -> None:
     async def scene() -> None:
         bench, host, other = Bench(), await FakeHost().start(), await FakeHost().start()
         bench.tell(host.address)
@@ -253,26 +253,26 @@
     play(scene)
 
 
-def test_the_newest_connection_is_used_and_idle_ones_are_closed_in_time() -> None:
+def test_most_recently_used_connection_is_reused_and_idle_ones_are_closed() -> None:
     async def scene() -> None:
         bench, host = Bench(), await FakeHost(reply=None).start()
         bench.tell(host.address)
         results = [bench.start()[1] for _ in range(2)]
         seen = [await host.seen.get() for _ in range(2)]
-        for item, result in zip(seen, results, strict=True):
-            item.reply()
+        for pending, result in zip(seen, results, strict=True):
+            pending.reply()
             assert (await result)[0] is Outcome.OK
         await rested()
         bench.upstream.sweep(now_ns() + 8 * SECOND)
         third, result = bench.start()
-        assert (await seen[1].reader.readline()).startswith(b"GET ")   # on the one that came back last
+        assert (await seen[1].reader.readline()).startswith(b"GET ")   # on the connection that became idle last
         bench.upstream.cancel(third)
-        bench.upstream.sweep(now_ns() + 10 * SECOND)   # the host would close after 15 s
+        bench.upstream.sweep(now_ns() + 10 * SECOND)   # the host closes idle connections after 15 s
         await seen[0].closed()
     play(scene)
 
 
-def test_unasked_bytes_spoil_an_idle_connection() -> None:
+def test_unsolicited_bytes_close_an_idle_connection() -> None:
     async def scene() -> None:
         bench, host = Bench(), await FakeHost(reply=None).start()
         bench.tell(host.address)
