--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -29,16 +29,16 @@
 NOT_PROCESSED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
-def a_class(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **more: Any) -> RequestClass:
+def make_class(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **more: Any) -> RequestClass:
     """A request class with a latency target of 400 ms and a deadline of 1 s."""
     defaults: dict[str, Any] = {"name": "c", "aim_ns": 400 * MS, "deadline_ns": SECOND, "late_worth": 0.3,
                                 "window_ns": SECOND if effect is Effect.KEYED else 0}
     return RequestClass(effect=effect, group=group, **(defaults | more))
 
 
-def some_settings(*classes: RequestClass, zones: int = 1, **more: Any) -> Settings:
+def make_settings(*classes: RequestClass, zones: int = 1, **more: Any) -> Settings:
     """Settings with at most five attempts; keyword arguments replace the defaults."""
-    defaults: dict[str, Any] = {"zone": 0, "zones": zones, "classes": classes or (a_class(),),
+    defaults: dict[str, Any] = {"zone": 0, "zones": zones, "classes": classes or (make_class(),),
                                 "limits": Limits(max_attempts=5)}
     return Settings(**(defaults | more))
 
@@ -57,12 +57,12 @@
         self.deadline = deadline
         self.out: dict[int, HostId] = {}
         self.sent: list[tuple[HostId, int]] = []   # attempts that a host may have processed, with the time of sending
-        self.count = 0
+        self.attempts = 0
         self.answers = 0
-        self.over = False
+        self.ended = False
 
 
-class Gateway:
+class SimulatedGateway:
     """One module with its clock, timers and attempts; `broken` lists the rule violations."""
 
     def __init__(self, settings: Settings, hosts: Sequence[HostEntry] = (), salt: int = 1) -> None:
@@ -70,25 +70,25 @@
         self.now = 0
         self.log_lines: list[str] = []
         self.sends: list[tuple[int, HostId, int]] = []
-        self.times: list[int] = []
+        self.send_times: list[int] = []
         self.ends: dict[int, str] = {}
-        self.asked = 0
+        self.discovery_calls = 0
         self.probes: list[HostId] = []
-        self.told: list[bytes] = []
+        self.peer_messages: list[bytes] = []
         self.timers: dict[int, int] = {}
         self.held: dict[int, _RequestRecord] = {}
         self.broken: list[str] = []
         self.hosts: dict[HostId, HostEntry] = {}
         self.not_ready_since: dict[HostId, int] = {}
-        self.rid = 0
+        self.last_rid = 0
         self.list_valid = True
         self.module = Balancer(settings, salt, self)
         if hosts:
-            self.list(ListKind.FULL, hosts)
+            self.update_list(ListKind.FULL, hosts)
 
     # Actions: called by the module.
 
-    def lease(self, valid: bool) -> None:
+    def set_list_valid(self, valid: bool) -> None:
         """Tell the module that the list may no longer be used, or may be used again."""
         self.list_valid = valid
         self.module.on_lease(self.now, valid)
@@ -97,7 +97,7 @@
         if not self.list_valid:
             self.broken.append("drain: sent while the lease of the list had expired")
         held = self.held[rid]
-        if held.over:
+        if held.ended:
             self.broken.append(f"1: request {rid} was sent after its end")
         grace = self.settings.rules.drain_grace_ns
         if host in self.not_ready_since and self.now > self.not_ready_since[host] + grace:
@@ -106,13 +106,13 @@
         self._check_retry(held, host, write_within_ns)
         if held.out and not self.settings.limits.allows_concurrent_attempts:
             self.broken.append(f"2: request {rid} has two attempts in flight")
-        held.out[held.count] = host
+        held.out[held.attempts] = host
         held.sent.append((host, self.now))
-        held.count += 1
-        if held.count > self.settings.limits.max_attempts:
-            self.broken.append(f"2: request {rid} was attempted {held.count} times")
+        held.attempts += 1
+        if held.attempts > self.settings.limits.max_attempts:
+            self.broken.append(f"2: request {rid} was attempted {held.attempts} times")
         self.sends.append((rid, host, timeout_ns))
-        self.times.append(self.now)
+        self.send_times.append(self.now)
 
     def _check_retry(self, held: _RequestRecord, host: HostId, write_within_ns: int) -> None:
         cls, target = held.cls, self.hosts[host]
@@ -134,31 +134,31 @@
     def refuse(self, rid: int, retry_after_ns: int) -> None:
         held = self.held[rid]
         in_any_group = held.cls.effect is Effect.KEYED and held.cls.group is Group.ALL
-        if held.sent and held.cls.effect is not Effect.SAFE and not in_any_group and not held.over:
+        if held.sent and held.cls.effect is not Effect.SAFE and not in_any_group and not held.ended:
             self.broken.append(f"2: request {rid} may have been processed and was refused")
         self._end_request(rid, "refuse")
 
     def _end_request(self, rid: int, result: str) -> None:
         held = self.held[rid]
-        if not held.over:
-            held.over = True
+        if not held.ended:
+            held.ended = True
             held.answers += 1
             self.ends[rid] = result
             if self.now > held.deadline + self.settings.rules.answer_slack_ns:
                 self.broken.append(f"1: request {rid} was answered after its deadline")
 
     def cancel(self, rid: int, attempt: int) -> None:
-        if not self.settings.limits.cancel or attempt >= self.held[rid].count:
+        if not self.settings.limits.cancel or attempt >= self.held[rid].attempts:
             self.broken.append(f"request {rid}: attempt {attempt} cannot be cancelled")
 
     def wake(self, token: int, after_ns: int) -> None:
         self.timers[token] = self.now + after_ns
 
     def watch(self, active: bool) -> None:
-        self.asked += active
+        self.discovery_calls += active
 
     def fetch(self) -> None:
-        self.asked += 1
+        self.discovery_calls += 1
 
     def probe(self, host: HostId) -> None:
         if not self.settings.limits.probes:
@@ -171,14 +171,14 @@
     def send_peer_message(self, peer: int | None, content: bytes) -> None:
         if not self.settings.limits.peers or len(content) > 256:
             self.broken.append("a peer message that the settings do not allow or that is too long")
-        self.told.append(content)
+        self.peer_messages.append(content)
 
     def log(self, text: str) -> None:
         self.log_lines.append(text)
 
     # Events: called by the tests.
 
-    def list(self, kind: ListKind, entries: Sequence[HostEntry]) -> None:
+    def update_list(self, kind: ListKind, entries: Sequence[HostEntry]) -> None:
         """Discovery sends an update, or its call fails."""
         if kind is not ListKind.FAILED:
             listed = {host_entry.host for host_entry in entries}
@@ -194,12 +194,12 @@
 
     def request(self, cls: int = 0, ttl_ns: int | None = None, tenant: int = 0, repeat: bool = False) -> int:
         """Receive a client's request; returns its id."""
-        self.rid += 1
+        self.last_rid += 1
         request_class = self.settings.classes[cls]
         ttl = request_class.deadline_ns if ttl_ns is None else ttl_ns
-        self.held[self.rid] = _RequestRecord(request_class, self.now + ttl)
-        self.module.on_request(self.now, self.rid, cls, tenant, 0, ttl, 0, repeat)
-        return self.rid
+        self.held[self.last_rid] = _RequestRecord(request_class, self.now + ttl)
+        self.module.on_request(self.now, self.last_rid, cls, tenant, 0, ttl, 0, repeat)
+        return self.last_rid
 
     def outcome(self, rid: int, outcome: Outcome, attempt: int | None = None, spent_ns: int | None = None,
                 load: Sequence[float] = ()) -> None:
@@ -210,16 +210,16 @@
         if outcome in NOT_PROCESSED:
             position = next(index for index, pair in enumerate(held.sent) if pair[0] == host)
             held.sent.pop(position)
-        if outcome is Outcome.OK and not held.over:
-            held.over = True
+        if outcome is Outcome.OK and not held.ended:
+            held.ended = True
             self.ends[rid] = "served"
-        spent = self.now - self.times[-1] if spent_ns is None else spent_ns
-        self.module.on_outcome(self.now, rid, number, host, outcome, max(spent, 1), held.over, load)
+        spent = self.now - self.send_times[-1] if spent_ns is None else spent_ns
+        self.module.on_outcome(self.now, rid, number, host, outcome, max(spent, 1), held.ended, load)
 
-    def gone(self, rid: int) -> None:
+    def disconnect_client(self, rid: int) -> None:
         """The client disconnects."""
-        if not self.held[rid].over:
-            self.held[rid].over = True
+        if not self.held[rid].ended:
+            self.held[rid].ended = True
             self.ends[rid] = "gone"
         self.module.on_client_disconnected(self.now, rid)
 
@@ -235,16 +235,17 @@
             self.module.on_timer(self.now, token)
         self.now = max(self.now, until_ns)
         for rid, held in self.held.items():
-            if not held.over and self.now > held.deadline + self.settings.rules.answer_slack_ns:
+            if not held.ended and self.now > held.deadline + self.settings.rules.answer_slack_ns:
                 self.broken.append(f"1: request {rid} has no response")
-                held.over = True
+                held.ended = True
 
-    def hosts_sent(self) -> Counter[HostId]:
+    def attempts_per_host(self) -> Counter[HostId]:
         """Number of attempts sent to each host."""
         return Counter(host for _, host, _ in self.sends)
 
 
-def settle(gateway: Gateway, requests: int, spent_ns: int, gap_ns: int = 10 * MS, cls: int = 0) -> None:
+def run_sequential_requests(gateway: SimulatedGateway, requests: int, spent_ns: int, gap_ns: int = 10 * MS,
+                            cls: int = 0) -> None:
     """Run requests one after another; each succeeds after the given time."""
     for _ in range(requests):
         rid = gateway.request(cls)
@@ -254,4 +255,4 @@
         gateway.run(gateway.now + gap_ns)
 
 
-__all__ = ["Gateway", "Rules", "a_class", "entry", "settle", "some_settings"]
+__all__ = ["Rules", "SimulatedGateway", "entry", "make_class", "make_settings", "run_sequential_requests"]
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -39,7 +39,7 @@
 }
 
 
-def play(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run an async test on a uvloop event loop, as the gateway uses, with a time limit."""
     async def run_with_timeout() -> None:
         await asyncio.wait_for(scene(), TEST_TIMEOUT_S)
@@ -54,20 +54,20 @@
     return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-class Seen:
+class ReceivedRequest:
     """A request that a host has received, with methods to respond to it."""
 
-    def __init__(self, first: str, headers: dict[str, str], body: bytes,
+    def __init__(self, request_line: str, headers: dict[str, str], body: bytes,
                  writer: asyncio.StreamWriter, reader: asyncio.StreamReader,
                  closed_event: asyncio.Event | None) -> None:
-        self.first, self.headers, self.body = first, headers, body
+        self.request_line, self.headers, self.body = request_line, headers, body
         self.writer, self.reader, self._closed_event = writer, reader, closed_event
 
-    def reply(self, data: bytes = OK) -> None:
+    def respond(self, data: bytes = OK) -> None:
         """Write these response bytes."""
         self.writer.write(data)
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the gateway has closed this connection."""
         if self._closed_event is not None:
             await self._closed_event.wait()
@@ -80,12 +80,12 @@
 
 
 class FakeHost:
-    """A host that queues each request in `seen` and responds with `reply`; with None the test responds itself."""
+    """A host that queues each request in `received` and responds with `response`; if None, the test responds itself."""
 
-    def __init__(self, name: str = "h0", reply: bytes | None = OK) -> None:
+    def __init__(self, name: str = "h0", response: bytes | None = OK) -> None:
         self.name = name
-        self.reply = reply
-        self.seen: asyncio.Queue[Seen] = asyncio.Queue()
+        self.response = response
+        self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.address = ""
         self._server: asyncio.Server | None = None
@@ -98,20 +98,20 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        closed_event = asyncio.Event() if self.reply is not None else None
+        closed_event = asyncio.Event() if self.response is not None else None
         try:
             while True:
-                seen = Seen(*await read_message(reader), writer, reader, closed_event)
-                self.seen.put_nowait(seen)
-                if self.reply is None:
+                received = ReceivedRequest(*await read_message(reader), writer, reader, closed_event)
+                self.received.put_nowait(received)
+                if self.response is None:
                     return   # the test uses the connection from here on
-                seen.reply(self.reply)
+                received.respond(self.response)
         except (asyncio.IncompleteReadError, OSError):
             writer.close()
             if closed_event is not None:
                 closed_event.set()
 
-    def row(self, state: str = "in_service", **more: Any) -> dict[str, Any]:
+    def instance(self, state: str = "in_service", **more: Any) -> dict[str, Any]:
         """This host's entry in discovery's list."""
         return {"instanceId": self.name, "hostPort": self.address, "zone": "a", "machineType": "m", "cell": 0,
                 "lifecycle": state, "weight": 1.0, "startedAtMs": 0, **more}
@@ -120,11 +120,11 @@
 class FakeDiscovery:
     """A discovery service that queues each call in `calls`, with the writer of its response.
 
-    `tells`: each response starts with an update that reports no change since generation 41.
+    `sends_first_update`: each response starts with an update that reports no change since generation 41.
     """
 
-    def __init__(self, tells: bool = False) -> None:
-        self._tells = tells
+    def __init__(self, sends_first_update: bool = False) -> None:
+        self._sends_first_update = sends_first_update
         self.calls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
         self.address = ""
 
@@ -138,28 +138,28 @@
         """Handle one call."""
         try:
             first, _, _ = await read_message(reader)
-            if self._tells:
-                self.head(writer)
-                self.line(writer, 41, [])
+            if self._sends_first_update:
+                self.send_head(writer)
+                self.send_update(writer, 41, [])
             self.calls.put_nowait((first, writer))
             await reader.read()
         except (asyncio.IncompleteReadError, OSError):
             pass
 
     @staticmethod
-    def head(writer: asyncio.StreamWriter) -> None:
+    def send_head(writer: asyncio.StreamWriter) -> None:
         """Start the response to a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     @staticmethod
-    def line(writer: asyncio.StreamWriter, generation: int, rows: list[dict[str, Any]],
+    def send_update(writer: asyncio.StreamWriter, generation: int, instances: list[dict[str, Any]],
              reset: bool = False) -> None:
         """Write one update of a watch."""
-        FakeDiscovery.raw(writer, json.dumps(
-            {"generation": generation, "reset": reset, "instances": rows}).encode() + b"\n")
+        FakeDiscovery.send_chunk(writer, json.dumps(
+            {"generation": generation, "reset": reset, "instances": instances}).encode() + b"\n")
 
     @staticmethod
-    def raw(writer: asyncio.StreamWriter, data: bytes) -> None:
+    def send_chunk(writer: asyncio.StreamWriter, data: bytes) -> None:
         """Write one HTTP chunk."""
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
@@ -174,15 +174,15 @@
         """Write these bytes."""
         self.writer.write(data)
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes]:
+    async def read_response(self) -> tuple[int, dict[str, str], bytes]:
         """Read the next response: status, headers, body."""
         first, headers, body = await read_message(self.reader)
         return int(first.split()[1]), headers, body
 
-    async def ask(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def fetch(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
         """Send a request and wait for its response."""
         self.send(data)
-        return await self.answer()
+        return await self.read_response()
 
 
 def request(cls: str = "read", rid: str = "r1", drop: str = "", body: bytes = b"", path: str = "/x?q=1",
@@ -201,31 +201,32 @@
     return f"{method} /{cls}{path} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-class Stage(AsyncExitStack):
+class GatewayHarness(AsyncExitStack):
     """A running gateway with its fake hosts and discovery; leaving the context closes everything."""
 
     gateway: Gateway
     discovery: FakeDiscovery
-    where: tuple[str, int]
+    address: tuple[str, int]
 
-    async def begin(self, *hosts: FakeHost, rows: list[dict[str, Any]] | None = None,
-                    make: DecisionsFactory = Balancer, told: dict[str, Any] | None = None, **settings: Any) -> Stage:
-        """Start a gateway whose configured list has these hosts, or `rows` where they are given."""
+    async def start(self, *hosts: FakeHost, instances: list[dict[str, Any]] | None = None,
+                    module_factory: DecisionsFactory = Balancer, config: dict[str, Any] | None = None,
+                    **settings: Any) -> GatewayHarness:
+        """Start a gateway whose configured list has these hosts, or `instances` where they are given."""
         self.discovery = await FakeDiscovery().start()
         for host in hosts:
             await host.start()
-        config = {
+        configuration = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "7",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"generation": 41, "reset": True,
-                      "instances": [host.row() for host in hosts] if rows is None else rows},
-            "settings": {**SETTINGS, **settings}, **(told or {})}
+                      "instances": [host.instance() for host in hosts] if instances is None else instances},
+            "settings": {**SETTINGS, **settings}, **(config or {})}
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-            json.dump(config, file)
+            json.dump(configuration, file)
             file.flush()
             self.gateway = Gateway(Config({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(),
-                                   make, first_list_wait_ns=0)   # a test may leave discovery calls unanswered
-        self.where = await self.gateway.start()
+                                   module_factory, first_list_wait_ns=0)   # a test may leave calls unanswered
+        self.address = await self.gateway.start()
         self._mark_configured_list_up_to_date()
         return self
 
@@ -239,16 +240,16 @@
 
     async def client(self) -> Client:
         """Open a new connection to the gateway."""
-        return Client(*await asyncio.open_connection(*self.where))
+        return Client(*await asyncio.open_connection(*self.address))
 
 
-async def until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
-    """Run the event loop until `ready` holds; the time limit of `play` ends a wait that never succeeds."""
+async def wait_until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
+    """Run the event loop until `ready` holds; the time limit of `run_scenario` ends a wait that never succeeds."""
     while not ready():
         await (step() if step is not None else asyncio.sleep(0))
 
 
-async def rested() -> None:
+async def wait_until_reusable() -> None:
     """Wait until a host connection whose response has just ended may be reused."""
     reusable_at = now_ns() + REUSE_DELAY_NS
-    await until(lambda: now_ns() > reusable_at)
+    await wait_until(lambda: now_ns() > reusable_at)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,7 +13,7 @@
 import pytest
 
 from bridgesaddle.api import MS, SECOND, ListKind, Outcome, Rules
-from tests.gateway import Gateway, entry, some_settings
+from tests.gateway import SimulatedGateway, entry, make_settings
 
 SERVICE_TIME_NS = 80 * MS
 RULES = Rules(cold_share=0.12, warm_within_ns=24 * SECOND, fall_multiple=3.0, fall_ns=1500 * MS)
@@ -33,9 +33,10 @@
     """The attempts that one process sends to cold hosts: host, and nanoseconds after the start of the cold hosts."""
     random = Random(replica_index)
     host_names = [f"h{number}" for number in range(hosts)]
-    gateway = Gateway(some_settings(zone=replica_index % 3, zones=3, replicas=processes,
-                                    replica_index=replica_index, rules=RULES),
-                      [entry(name, zone=number % 3) for number, name in enumerate(host_names)], salt=replica_index)
+    gateway = SimulatedGateway(make_settings(zone=replica_index % 3, zones=3, replicas=processes,
+                                             replica_index=replica_index, rules=RULES),
+                               [entry(name, zone=number % 3) for number, name in enumerate(host_names)],
+                               salt=replica_index)
     just_started = random.random() < 0.1
     completions: list[tuple[int, int, int]] = []   # completions of attempts: time, request id, attempt number
     arrival = COLD_START_NS - SECOND if just_started else 0
@@ -48,9 +49,9 @@
         gateway.run(next_ns)
         if not update_sent and next_ns >= COLD_START_NS:
             update_sent = True
-            gateway.list(ListKind.FULL, [entry(name, zone=number % 3,
-                                               started_ns=COLD_START_NS if number < cold else 0)
-                                         for number, name in enumerate(host_names)])
+            gateway.update_list(ListKind.FULL, [entry(name, zone=number % 3,
+                                                      started_ns=COLD_START_NS if number < cold else 0)
+                                                for number, name in enumerate(host_names)])
         elif completions and completions[0][0] <= next_ns:
             _, rid, number = heappop(completions)
             if number in gateway.held[rid].out:
@@ -59,12 +60,12 @@
             gateway.request()
             arrival = next_ns + int(random.expovariate(
                 rate_per_s * (1.5 if next_ns >= COLD_START_NS else 1.0)) * SECOND)
-        for (rid, host, _), sent_at in zip(gateway.sends, gateway.times, strict=True):
+        for (rid, host, _), sent_at in zip(gateway.sends, gateway.send_times, strict=True):
             if sent_at >= COLD_START_NS and host_names.index(str(host)) < cold:
                 sent.append((str(host), sent_at - COLD_START_NS))
-            heappush(completions, (sent_at + SERVICE_TIME_NS, rid, gateway.held[rid].count - 1))
+            heappush(completions, (sent_at + SERVICE_TIME_NS, rid, gateway.held[rid].attempts - 1))
         gateway.sends.clear()
-        gateway.times.clear()
+        gateway.send_times.clear()
 
 
 @pytest.mark.parametrize(("processes", "hosts", "cold", "lasts"), [
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -17,7 +17,7 @@
 from gateway.timers import Timers
 from gateway.update_parser import ListedHost
 from gateway.upstream import Upstream
-from tests.gateway import some_settings
+from tests.gateway import make_settings
 
 READ = RequestClass("read", aim_ns=80 * MS, deadline_ns=400 * MS, effect=Effect.SAFE, late_worth=0.5)
 
@@ -31,7 +31,7 @@
         self.out: list[Attempt] = []
         self.responses: list[tuple[str, int]] = []   # the response that the client got, and when
         monkeypatch.setattr(core_module, "now_ns", lambda: self.now)
-        settings = some_settings(*classes, limits=Limits(max_attempts=5, retry_after=True))
+        settings = make_settings(*classes, limits=Limits(max_attempts=5, retry_after=True))
         self.core = Core(settings, 1, cast(Timers, self))
         self.core.attach(cast(Upstream, self), cast(Discovery, self))
         hosts = [HostEntry(f"h{number}", 0, 0, 0, HostState.READY) for number in range(4)]
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -23,12 +23,12 @@
     Tenant,
 )
 
-from .gateway import Gateway, a_class, entry, settle, some_settings
+from .gateway import SimulatedGateway, entry, make_class, make_settings, run_sequential_requests
 
 
 def test_a_request_is_sent_once_and_its_state_released() -> None:
-    gateway = Gateway(some_settings(), [entry(f"h{n}") for n in range(4)])
-    settle(gateway, 1, 20 * MS)
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{n}") for n in range(4)])
+    run_sequential_requests(gateway, 1, 20 * MS)
     assert len(gateway.sends) == 1
     assert gateway.ends == {1: "served"}
     assert not gateway.module._requests
@@ -36,7 +36,7 @@
 
 
 def test_requests_are_refused_with_an_empty_list() -> None:
-    gateway = Gateway(some_settings())
+    gateway = SimulatedGateway(make_settings())
     rid = gateway.request()
     gateway.run(2 * SECOND)
     assert gateway.ends[rid] == "refuse"
@@ -44,7 +44,7 @@
 
 
 def test_an_unsafe_request_is_not_repeated_after_a_reset() -> None:
-    gateway = Gateway(some_settings(a_class(Effect.UNSAFE)), [entry(f"h{n}") for n in range(4)])
+    gateway = SimulatedGateway(make_settings(make_class(Effect.UNSAFE)), [entry(f"h{n}") for n in range(4)])
     rid = gateway.request()
     gateway.run(20 * MS)
     gateway.outcome(rid, Outcome.RESET)
@@ -55,7 +55,7 @@
 
 
 def test_an_unknown_class_is_named_in_the_error() -> None:
-    gateway = Gateway(some_settings(), [entry("h")])
+    gateway = SimulatedGateway(make_settings(), [entry("h")])
     with pytest.raises(ValueError, match="cls 7"):
         gateway.module.on_request(0, 1, 7, 0, 0, SECOND, 0, False)
 
@@ -63,37 +63,37 @@
 def test_many_gateways_do_not_overload_a_cold_server() -> None:
     """Eighty gateways that each send one request per window would overload the only server, just started."""
     rules = Rules(cold_share=0.3, warm_within_ns=10 * SECOND, fall_multiple=3.0, fall_ns=2 * SECOND)
-    settings = [some_settings(replicas=80, replica_index=number, rules=rules) for number in range(80)]
+    settings = [make_settings(replicas=80, replica_index=number, rules=rules) for number in range(80)]
     sent = 0
     for number, config in enumerate(settings):
-        gateway = Gateway(config, [entry("warm")], salt=number)
-        settle(gateway, 20, 80 * MS, 3120 * MS)
-        gateway.list(ListKind.DELTA, [entry("warm", state=HostState.GONE),
+        gateway = SimulatedGateway(config, [entry("warm")], salt=number)
+        run_sequential_requests(gateway, 20, 80 * MS, 3120 * MS)
+        gateway.update_list(ListKind.DELTA, [entry("warm", state=HostState.GONE),
                                        entry("cold", started_ns=gateway.now)])
         if number < 50:   # those whose next request falls into the first two seconds
             gateway.run(gateway.now + number * 40 * MS)
-            settle(gateway, 1, 80 * MS)
-        sent += gateway.hosts_sent()["cold"]
+            run_sequential_requests(gateway, 1, 80 * MS)
+        sent += gateway.attempts_per_host()["cold"]
     # One core serves 12.5 requests per second; cold, 0.3 to 0.44 of that in the first two seconds.
     assert sent < 3.0 * 0.3 * 12.5 * 2
 
 
 def test_a_server_that_is_always_full_is_ejected() -> None:
     """The fast FULL outcomes of a hung server with a full queue must not count as its recovery."""
-    gateway = Gateway(some_settings(), [entry("good"), entry("full")])
+    gateway = SimulatedGateway(make_settings(), [entry("good"), entry("full")])
     for _ in range(60):
         rid = gateway.request()
         gateway.run(gateway.now + 5 * MS)
         while gateway.held[rid].out:
             host = gateway.held[rid].out[min(gateway.held[rid].out)]
             gateway.outcome(rid, Outcome.FULL if host == "full" else Outcome.OK, spent_ns=5 * MS)
-    assert gateway.hosts_sent()["full"] < 10
+    assert gateway.attempts_per_host()["full"] < 10
 
 
 def test_a_list_update_does_not_reset_a_limit() -> None:
     """A reset would let all gateways send a burst to an overloaded fleet at each update of the list."""
     hosts = [entry(f"h{number}") for number in range(8)]
-    gateway = Gateway(some_settings(), hosts)
+    gateway = SimulatedGateway(make_settings(), hosts)
     for _ in range(60):
         rid = gateway.request()
         while gateway.held[rid].out:
@@ -101,7 +101,7 @@
         gateway.run(gateway.now + 50 * MS)
     gateway.run(gateway.now + 20 * MS)
     before = len(gateway.sends)
-    gateway.list(ListKind.FULL, hosts[1:])
+    gateway.update_list(ListKind.FULL, hosts[1:])
     for _ in range(8):
         gateway.request()
     assert len(gateway.sends) - before <= 2
@@ -109,7 +109,7 @@
 
 def test_a_silent_server_is_noticed_by_requests_that_may_not_be_retried() -> None:
     """An unsafe attempt has no timeout before its deadline, so a silent server could keep getting half of all work."""
-    gateway = Gateway(some_settings(a_class(Effect.UNSAFE)), [entry("good"), entry("silent")])
+    gateway = SimulatedGateway(make_settings(make_class(Effect.UNSAFE)), [entry("good"), entry("silent")])
     for _ in range(40):
         rid = gateway.request()
         out = gateway.held[rid].out
@@ -117,16 +117,16 @@
         if out and out[0] == "good":
             gateway.outcome(rid, Outcome.OK, spent_ns=20 * MS)
         gateway.run(gateway.now + 80 * MS)
-    assert gateway.hosts_sent()["silent"] < 12
+    assert gateway.attempts_per_host()["silent"] < 12
     assert not gateway.broken
 
 
 def test_a_keyed_retry_goes_to_the_cell_that_drops_its_repeat() -> None:
     """The gateway's subset of its zone seldom contains the only other server of the cell."""
     hosts = [entry(f"h{number}", cell=number // 2) for number in range(60)]
-    settings = some_settings(a_class(Effect.KEYED, Group.CELL, window_ns=2 * SECOND, aim_ns=SECOND,
-                                     deadline_ns=4 * SECOND), replicas=20)
-    gateway = Gateway(settings, hosts)
+    settings = make_settings(make_class(Effect.KEYED, Group.CELL, window_ns=2 * SECOND, aim_ns=SECOND,
+                                        deadline_ns=4 * SECOND), replicas=20)
+    gateway = SimulatedGateway(settings, hosts)
     rid = gateway.request()
     gateway.run(20 * MS)
     gateway.outcome(rid, Outcome.RESET)
@@ -137,7 +137,7 @@
 
 def test_a_retry_needs_capacity() -> None:
     """Retries beyond the limit would keep an overloaded fleet full."""
-    gateway = Gateway(some_settings(), [entry(f"h{number}") for number in range(4)])
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{number}") for number in range(4)])
     rids = [gateway.request() for _ in range(4)]
     gateway.outcome(rids[0], Outcome.RESET)
     rids += [gateway.request() for _ in range(8)]   # these use up the limit
@@ -151,8 +151,8 @@
 
 def test_a_load_report_of_queue_and_service_time_gives_the_delay() -> None:
     """Such reports must be used even if they do not contain the requests in flight."""
-    settings = some_settings(report_fields=("queue", "service_ms"), report_inline=True)
-    gateway = Gateway(settings, [entry("busy"), entry("idle")])
+    settings = make_settings(report_fields=("queue", "service_ms"), report_inline=True)
+    gateway = SimulatedGateway(settings, [entry("busy"), entry("idle")])
     for _ in range(30):
         rid = gateway.request()
         gateway.run(gateway.now + 20 * MS)
@@ -166,7 +166,7 @@
 
 def test_ended_requests_are_removed_from_the_queue() -> None:
     """An ended request must not stay in the heap while a more valuable one waits above it."""
-    gateway = Gateway(some_settings())
+    gateway = SimulatedGateway(make_settings())
     for _ in range(3000):
         gateway.request(ttl_ns=20 * MS)
         gateway.run(gateway.now + 10 * MS)
@@ -174,7 +174,7 @@
 
 
 def test_an_unknown_tenant_and_a_reused_id_are_named_in_the_error() -> None:
-    gateway = Gateway(some_settings(), [entry("h")])
+    gateway = SimulatedGateway(make_settings(), [entry("h")])
     with pytest.raises(ValueError, match="tenant 3"):
         gateway.module.on_request(0, 1, 0, 3, 0, SECOND, 0, False)
     rid = gateway.request()
@@ -184,8 +184,9 @@
 
 def test_waiting_requests_leave_client_connections_for_new_ones() -> None:
     """If waiting requests occupied all of the clients' connections, new requests could not arrive."""
-    classes = (a_class(name="cheap", worth=1.0), a_class(name="dear", worth=9.0))
-    gateway = Gateway(some_settings(*classes, limits=Limits(max_attempts=5, max_client_requests=8)), [entry("h")])
+    classes = (make_class(name="cheap", worth=1.0), make_class(name="dear", worth=9.0))
+    gateway = SimulatedGateway(make_settings(*classes, limits=Limits(max_attempts=5, max_client_requests=8)),
+                               [entry("h")])
     cheap = [gateway.request(0) for _ in range(20)]
     valuable = [gateway.request(1) for _ in range(3)]
     out = {rid for rid, _, _ in gateway.sends}
@@ -199,10 +200,10 @@
 
 def test_a_new_request_does_not_overtake_waiting_ones() -> None:
     """A new request would have a second random draw for capacity and overtake more valuable ones that wait."""
-    valuable, cheap = a_class(name="dear", worth=9.0), a_class(name="cheap", worth=1.0)
-    gateway = Gateway(some_settings(valuable, cheap), [entry(f"h{number}") for number in range(4)])
-    settle(gateway, 20, 20 * MS)
-    settle(gateway, 20, 20 * MS, cls=1)
+    valuable, cheap = make_class(name="dear", worth=9.0), make_class(name="cheap", worth=1.0)
+    gateway = SimulatedGateway(make_settings(valuable, cheap), [entry(f"h{number}") for number in range(4)])
+    run_sequential_requests(gateway, 20, 20 * MS)
+    run_sequential_requests(gateway, 20, 20 * MS, cls=1)
     gateway.module._near.limit = 0.5    # capacity for half of the draws
     rids = [gateway.request(cls) for cls in (0, 0, 1, 1, 1, 1, 1, 1)]
     sent = [rid for rid, _, _ in gateway.sends if rid in rids]
@@ -211,10 +212,10 @@
 
 def test_many_gateways_do_not_overload_a_small_fleet_at_their_start() -> None:
     """Hundreds of gateways with an initial limit of one request for each pool would overload a small fleet."""
-    config = some_settings(replicas=200)
+    config = make_settings(replicas=200)
     out = 0
     for salt in range(200):
-        gateway = Gateway(config, [entry(f"h{number}") for number in range(20)], salt)
+        gateway = SimulatedGateway(config, [entry(f"h{number}") for number in range(20)], salt)
         gateway.request()
         out += len(gateway.sends)
     assert 20 <= out <= 60   # about two per server, not one per gateway
@@ -223,16 +224,16 @@
 def test_a_tenant_over_its_allowance_is_limited_while_the_pool_is_busy() -> None:
     """The excess of a tenant has little worth and must not displace requests of tenants within their allowance."""
     tenants = (Tenant("greedy", quota_per_s=10.0), Tenant("modest", quota_per_s=10.0))
-    gateway = Gateway(some_settings(tenants=tenants, over_share_worth=0.05), [entry("a"), entry("b")])
+    gateway = SimulatedGateway(make_settings(tenants=tenants, over_share_worth=0.05), [entry("a"), entry("b")])
     gateway.module._near.limit = 6.0
-    settle(gateway, 30, 20 * MS)
+    run_sequential_requests(gateway, 30, 20 * MS)
     ends: dict[int, list[int]] = {0: [], 1: []}
     for number in range(200):   # sixty requests per second, served late: five in six are the greedy tenant's
         tenant = int(number % 6 == 0)
         ends[tenant].append(gateway.request(tenant=tenant))
         gateway.run(gateway.now + 16 * MS)
         for rid, held in gateway.held.items():
-            while held.out and gateway.now - gateway.times[-1] >= 0 and rid <= gateway.rid - 5:
+            while held.out and gateway.now - gateway.send_times[-1] >= 0 and rid <= gateway.last_rid - 5:
                 gateway.outcome(rid, Outcome.OK, spent_ns=300 * MS)
     greedy, modest = ([gateway.ends.get(rid) == "refuse" for rid in ends[t]] for t in (0, 1))
     assert sum(modest) / len(modest) < 0.25
@@ -243,8 +244,8 @@
 def test_random_arrivals_of_a_small_tenant_are_within_its_allowance() -> None:
     """With a credit of one request, each random pair of requests from a tenant within its allowance would be excess."""
     tenants = (Tenant("small", quota_per_s=10.0), Tenant("other", quota_per_s=10.0))
-    gateway = Gateway(some_settings(tenants=tenants, over_share_worth=0.1, replicas=20),
-                      [entry(f"h{n}") for n in range(8)])
+    gateway = SimulatedGateway(make_settings(tenants=tenants, over_share_worth=0.1, replicas=20),
+                               [entry(f"h{n}") for n in range(8)])
     gateway.module._missed_share = 1.0    # the gate for excess is closed
     gateway.module._near.limit = 9.0
     rids = [gateway.request() for _ in range(4)]   # this gateway's part is half a request per second
@@ -256,28 +257,28 @@
 
 def test_configured_weight_and_observed_latency_count() -> None:
     """The speeds of servers may differ threefold, and by weight alone large servers would get too much."""
-    gateway = Gateway(some_settings(), [entry("large", weight=3.0), entry("small")])
+    gateway = SimulatedGateway(make_settings(), [entry("large", weight=3.0), entry("small")])
     gateway.module._near.limit = 8.0
     for _ in range(4):
         gateway.request()
-    assert gateway.hosts_sent() == {"large": 3, "small": 1}   # in flight by weight: one, two, then a tie
-    slow = Gateway(some_settings(), [entry("large", weight=2.0), *[entry(f"small{n}") for n in range(3)]])
+    assert gateway.attempts_per_host() == {"large": 3, "small": 1}   # in flight by weight: one, two, then a tie
+    slow = SimulatedGateway(make_settings(), [entry("large", weight=2.0), *[entry(f"small{n}") for n in range(3)]])
     for _ in range(80):
         rid = slow.request()
         late = slow.held[rid].out[0] == "large"
         slow.run(slow.now + (150 if late else 30) * MS)
         slow.outcome(rid, Outcome.OK)
     slow.sends.clear()
-    settle(slow, 40, 30 * MS)
-    assert slow.hosts_sent()["large"] < 14   # half of the random pairs contain it: twenty of forty
+    run_sequential_requests(slow, 40, 30 * MS)
+    assert slow.attempts_per_host()["large"] < 14   # half of the random pairs contain it: twenty of forty
 
 
 def test_a_request_that_cannot_be_in_time_is_refused_at_once() -> None:
     """Otherwise a third of the work would go to requests with a quarter of the time that a response takes."""
-    gateway = Gateway(some_settings(), [entry(f"h{n}") for n in range(4)])
-    settle(gateway, 60, 200 * MS)
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{n}") for n in range(4)])
+    run_sequential_requests(gateway, 60, 200 * MS)
     gateway.request(ttl_ns=50 * MS)
-    assert not gateway.ends.get(gateway.rid)   # it is sent while all requests are in time
+    assert not gateway.ends.get(gateway.last_rid)   # it is sent while all requests are in time
     gateway.module._missed_share = 1.0
     sent = len(gateway.sends)
     rid = gateway.request(ttl_ns=50 * MS)
@@ -288,8 +289,8 @@
 
 def test_a_class_that_looks_too_slow_is_probed_now_and_then() -> None:
     """If nothing of a class were sent once it looks too slow, its recovery would go unnoticed."""
-    gateway = Gateway(some_settings(), [entry(f"h{n}") for n in range(4)])
-    settle(gateway, 60, 900 * MS)
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{n}") for n in range(4)])
+    run_sequential_requests(gateway, 60, 900 * MS)
     sent = len(gateway.sends)
     for _ in range(100):
         gateway.request()
@@ -299,9 +300,9 @@
 
 def test_failures_seen_by_long_requests_stay_in_effect_for_short_ones() -> None:
     """If evidence decayed by the T1 of each request, the class with the shortest aim would use silent servers."""
-    short = a_class(name="short", aim_ns=100 * MS)
-    long = a_class(name="long", aim_ns=SECOND, deadline_ns=2 * SECOND)
-    gateway = Gateway(some_settings(short, long), [entry("h")])
+    short = make_class(name="short", aim_ns=100 * MS)
+    long = make_class(name="long", aim_ns=SECOND, deadline_ns=2 * SECOND)
+    gateway = SimulatedGateway(make_settings(short, long), [entry("h")])
     server = gateway.module._servers["h"]
     for at in (1, 2):
         gateway.module._observe(server, SECOND, SECOND, at * SECOND, failed=True)
@@ -310,8 +311,8 @@
 
 def test_silence_counts_for_requests_with_little_time_left() -> None:
     """Requests that have waited are cancelled before T1; in overload, silence would otherwise go unnoticed."""
-    gateway = Gateway(some_settings(), [entry("good"), entry("silent")])
-    settle(gateway, 30, 20 * MS)
+    gateway = SimulatedGateway(make_settings(), [entry("good"), entry("silent")])
+    run_sequential_requests(gateway, 30, 20 * MS)
     gateway.sends.clear()
     for _ in range(40):
         rid = gateway.request(ttl_ns=150 * MS)
@@ -322,43 +323,43 @@
             gateway.run(gateway.now + 200 * MS)
             while gateway.held[rid].out:
                 gateway.outcome(rid, Outcome.CANCELLED, spent_ns=150 * MS)
-    assert gateway.hosts_sent()["silent"] < 12
+    assert gateway.attempts_per_host()["silent"] < 12
 
 
 def test_full_servers_get_time_to_recover() -> None:
     """Gateways whose entire subset is full must not keep it full by sending more."""
-    gateway = Gateway(some_settings(), [entry("a"), entry("b")])
+    gateway = SimulatedGateway(make_settings(), [entry("a"), entry("b")])
     for _ in range(400):   # forty seconds
         gateway.request()
         for rid, held in gateway.held.items():
             while held.out:
                 gateway.outcome(rid, Outcome.FULL, spent_ns=MS)
         gateway.run(gateway.now + 100 * MS)
-    late = sum(at > 10 * SECOND for at in gateway.times)
+    late = sum(at > 10 * SECOND for at in gateway.send_times)
     assert 1 <= late <= 30    # a few attempts are still made
     assert not gateway.broken
 
 
 def test_an_attempt_has_no_timeout_where_a_retry_would_be_late() -> None:
     """Without overload, a timeout of long requests would only cause the same work twice, too late."""
-    gateway = Gateway(some_settings(), [entry(f"h{n}") for n in range(4)])
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{n}") for n in range(4)])
     rid = gateway.request()
     assert gateway.sends[-1][2] == 300 * MS           # without statistics: the timer, T1
     gateway.run(gateway.now + 20 * MS)
     gateway.outcome(rid, Outcome.OK)
-    settle(gateway, 60, 180 * MS)
+    run_sequential_requests(gateway, 60, 180 * MS)
     gateway.request()
     assert gateway.sends[-1][2] == SECOND             # 100 ms after T1, no response that takes 180 ms is in time
-    quick = Gateway(some_settings(), [entry(f"h{n}") for n in range(4)])
-    settle(quick, 60, 20 * MS)
+    quick = SimulatedGateway(make_settings(), [entry(f"h{n}") for n in range(4)])
+    run_sequential_requests(quick, 60, 20 * MS)
     quick.request()
     assert quick.sends[-1][2] == 300 * MS
 
 
 def test_overload_of_a_zone_is_noticed_though_its_servers_report_empty_queues() -> None:
     """Servers that share their cores between many requests report an empty queue while all responses are late."""
-    gateway = Gateway(some_settings(zones=2, report_fields=("queue", "service_ms"), report_inline=True),
-                      [entry(f"h{number}", zone=number % 2) for number in range(8)])
+    gateway = SimulatedGateway(make_settings(zones=2, report_fields=("queue", "service_ms"), report_inline=True),
+                               [entry(f"h{number}", zone=number % 2) for number in range(8)])
     sent_before = 0
     for turn in range(300):
         rid = gateway.request()
@@ -376,13 +377,13 @@
 
 def test_failed_discovery_is_called_again_before_its_changes_take_effect() -> None:
     """A backoff of three quarters of ask_within_ns would notice drains too late."""
-    gateway = Gateway(some_settings(ask_discovery=True), [entry("h")])
+    gateway = SimulatedGateway(make_settings(ask_discovery=True), [entry("h")])
     within = gateway.settings.rules.ask_within_ns
     delays: list[int] = []
     for _ in range(12):
-        gateway.list(ListKind.FAILED, [])
-        before, begun = gateway.asked, gateway.now
-        while gateway.asked == before:
+        gateway.update_list(ListKind.FAILED, [])
+        before, begun = gateway.discovery_calls, gateway.now
+        while gateway.discovery_calls == before:
             gateway.run(gateway.now + 50 * MS)
         delays.append(gateway.now - begun)
     assert max(delays) <= within * 3 // 10 + 50 * MS
@@ -392,10 +393,10 @@
 
 def test_removed_servers_are_forgotten() -> None:
     """Each release of the servers brings new names; the entries of the old ones must not accumulate."""
-    gateway = Gateway(some_settings(), [entry("h0")])
+    gateway = SimulatedGateway(make_settings(), [entry("h0")])
     for number in range(100):
         rid = gateway.request()
-        gateway.list(ListKind.DELTA, [entry(f"h{number}", state=HostState.GONE), entry(f"h{number + 1}")])
+        gateway.update_list(ListKind.DELTA, [entry(f"h{number}", state=HostState.GONE), entry(f"h{number + 1}")])
         if gateway.held[rid].out:   # a response of a removed server still counts
             gateway.outcome(rid, Outcome.OK, spent_ns=10 * MS)
         gateway.run(gateway.now + 50 * MS)
@@ -406,7 +407,7 @@
 
 def test_a_request_waits_for_at_most_half_of_its_time() -> None:
     """Half of the aim can be all of the time of a request with a short timeout."""
-    gateway = Gateway(some_settings(), [entry("h")])
+    gateway = SimulatedGateway(make_settings(), [entry("h")])
     gateway.module._near.limit = 0.0
     rid = gateway.request(ttl_ns=150 * MS)
     gateway.run(80 * MS)
@@ -414,24 +415,24 @@
     assert not gateway.broken
 
 
-def serve_all(gateway: Gateway, spent_ns: int) -> None:
+def serve_all(gateway: SimulatedGateway, spent_ns: int) -> None:
     """Serve all attempts in flight after this time, and then those that get their capacity."""
     gateway.run(gateway.now + spent_ns)
     for rid in [rid for rid, held in gateway.held.items() if held.out]:
         gateway.outcome(rid, Outcome.OK, spent_ns=spent_ns)
 
 
-def burst(gateway: Gateway, size: int = 200) -> int:
+def burst(gateway: SimulatedGateway, size: int = 200) -> int:
     """How many of this number of simultaneous requests are sent at once, by a gateway without waiting ones."""
     while gateway.module._waiting_count or any(held.out for held in gateway.held.values()):
         serve_all(gateway, 20 * MS)
-    return sum(gateway.held[gateway.request()].count for _ in range(size))
+    return sum(gateway.held[gateway.request()].attempts for _ in range(size))
 
 
 def test_latency_under_lasting_overload_does_not_become_typical() -> None:
     """Overload below the gate's threshold must not become the typical latency, or the limit would grow with it."""
-    gateway = Gateway(some_settings(), [entry(f"h{number}") for number in range(8)])
-    settle(gateway, 200, 20 * MS)
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{number}") for number in range(8)])
+    run_sequential_requests(gateway, 200, 20 * MS)
     for _ in range(100):
         for _ in range(40):
             gateway.request()
@@ -443,12 +444,12 @@
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.ERROR, Outcome.CONNECT_FAILED])
 def test_failed_responses_do_not_limit_work_for_idle_servers(outcome: Outcome) -> None:
     """If each reset counted as one T1 of queueing in its pool, the limit would fall while the servers are idle."""
-    gateway = Gateway(some_settings(), [entry(f"h{number}") for number in range(8)])
-    settle(gateway, 40, 10 * MS)
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{number}") for number in range(8)])
+    run_sequential_requests(gateway, 40, 10 * MS)
     delayed = responses = 0
     for _ in range(400):
         batch = [gateway.request() for _ in range(4)]
-        delayed += sum(1 for rid in batch if not gateway.held[rid].count)
+        delayed += sum(1 for rid in batch if not gateway.held[rid].attempts)
         gateway.run(gateway.now + 10 * MS)
         for rid in [rid for rid, held in gateway.held.items() if held.out]:
             responses += 1
@@ -460,8 +461,8 @@
 
 def test_clients_with_short_timeouts_do_not_look_like_overload() -> None:
     """Relative to a T1 of 45 ms, a response 20 ms slower than typical would be nearly half a T1 of delay."""
-    gateway = Gateway(some_settings(), [entry(f"h{number}") for number in range(8)])
-    settle(gateway, 200, 20 * MS)
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{number}") for number in range(8)])
+    run_sequential_requests(gateway, 200, 20 * MS)
     for _ in range(40):
         for _ in range(8):
             gateway.request(ttl_ns=50 * MS)
@@ -470,7 +471,7 @@
     assert not gateway.broken
 
 
-def random_arrivals(gateway: Gateway, per_s: float, mean_ms: float, until_ns: int, seed: int) -> None:
+def random_arrivals(gateway: SimulatedGateway, per_s: float, mean_ms: float, until_ns: int, seed: int) -> None:
     """Requests arrive at random and take random times, as at idle servers."""
     draw = Random(seed)
     taken: set[int] = set()
@@ -497,11 +498,11 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_gateway_with_few_responses_does_not_see_overload_at_random(seed: int) -> None:
     """One slow response of few must not make half of a pool's delay, or limits fall to the minimum at idle servers."""
-    gateway = Gateway(some_settings(replicas=40), [entry(f"h{number}") for number in range(60)])
-    settle(gateway, 40, 20 * MS, 280 * MS)   # its first responses are fast
+    gateway = SimulatedGateway(make_settings(replicas=40), [entry(f"h{number}") for number in range(60)])
+    run_sequential_requests(gateway, 40, 20 * MS, 280 * MS)   # its first responses are fast
     random_arrivals(gateway, 8.0, 60.0, 72 * SECOND, seed)
     unserved = [rid for rid, how in gateway.ends.items() if how != "served"]
-    assert len(unserved) < 0.05 * gateway.rid
+    assert len(unserved) < 0.05 * gateway.last_rid
     assert not gateway.broken
 
 
@@ -509,7 +510,7 @@
     """Forty gateways with limits of one or two must not let random arrivals wait while the fleet has capacity."""
     sent = 0
     for salt in range(100):   # each has its initial limit: one and a half
-        gateway = Gateway(some_settings(replicas=40), [entry(f"h{number}") for number in range(60)], salt)
+        gateway = SimulatedGateway(make_settings(replicas=40), [entry(f"h{number}") for number in range(60)], salt)
         sent += burst(gateway, 4)
         assert not gateway.broken
     assert 240 < sent < 300
@@ -517,7 +518,7 @@
 
 def test_a_single_gateway_does_not_exceed_its_limit() -> None:
     """The peaks of many gateways even out at the servers; those of a single gateway do not."""
-    sent = sum(burst(Gateway(some_settings(), [entry("a"), entry("b")], salt), 8) for salt in range(50))
+    sent = sum(burst(SimulatedGateway(make_settings(), [entry("a"), entry("b")], salt), 8) for salt in range(50))
     assert sent == 100
 
 
@@ -526,9 +527,9 @@
     hosts = [entry(f"h{number}", zone=number % 3) for number in range(60)]
     users: Counter[HostId] = Counter()
     for index in range(13):
-        gateway = Gateway(some_settings(zones=3, replicas=40, replica_index=index), hosts, salt=index)
-        settle(gateway, 60, 20 * MS)
-        users.update(host for host in gateway.hosts_sent() if gateway.hosts[host].zone == 0)
+        gateway = SimulatedGateway(make_settings(zones=3, replicas=40, replica_index=index), hosts, salt=index)
+        run_sequential_requests(gateway, 60, 20 * MS)
+        users.update(host for host in gateway.attempts_per_host() if gateway.hosts[host].zone == 0)
     assert len(users) == 20
     assert max(users.values()) < 2 * min(users.values())
 
@@ -536,9 +537,9 @@
 def test_new_servers_take_work_from_the_few_that_remain_after_a_release() -> None:
     """The pace for cold servers must not follow from overload: the low rate would keep them from taking work."""
     rules = Rules(cold_share=0.12, warm_within_ns=24 * SECOND, fall_multiple=3.0, fall_ns=1500 * MS)
-    gateway = Gateway(some_settings(replicas=40, rules=rules), [entry(f"h{number}") for number in range(60)])
-    settle(gateway, 100, 80 * MS, 20 * MS)
-    gateway.list(ListKind.FULL, [entry(f"h{number}") for number in range(20)] + [
+    gateway = SimulatedGateway(make_settings(replicas=40, rules=rules), [entry(f"h{number}") for number in range(60)])
+    run_sequential_requests(gateway, 100, 80 * MS, 20 * MS)
+    gateway.update_list(ListKind.FULL, [entry(f"h{number}") for number in range(20)] + [
         entry(f"new{number}", started_ns=gateway.now) for number in range(40)])
     gateway.sends.clear()
     for _ in range(100):
@@ -553,10 +554,10 @@
 def test_new_servers_of_other_zones_help_a_zone_that_has_too_few() -> None:
     """Cold servers must not idle for the gateways of other zones, whose warm servers are overloaded."""
     rules = Rules(cold_share=0.12, warm_within_ns=24 * SECOND, fall_multiple=3.0, fall_ns=1500 * MS)
-    gateway = Gateway(some_settings(zones=3, replicas=40, rules=rules),
-                      [entry(f"h{number}", zone=number % 3) for number in range(60)])
-    settle(gateway, 100, 80 * MS, 20 * MS)
-    gateway.list(ListKind.FULL, [entry(f"h{number}") for number in range(0, 60, 3)] + [
+    gateway = SimulatedGateway(make_settings(zones=3, replicas=40, rules=rules),
+                               [entry(f"h{number}", zone=number % 3) for number in range(60)])
+    run_sequential_requests(gateway, 100, 80 * MS, 20 * MS)
+    gateway.update_list(ListKind.FULL, [entry(f"h{number}") for number in range(0, 60, 3)] + [
         entry(f"new{number}", zone=1 + number % 2, started_ns=gateway.now) for number in range(40)])
     gateway.sends.clear()
     for _ in range(100):
@@ -572,10 +573,11 @@
     rules = Rules(cold_share=0.12, warm_within_ns=24 * SECOND, fall_multiple=3.0, fall_ns=1500 * MS)
     sent: Counter[HostId] = Counter()
     for index in range(42):
-        gateway = Gateway(some_settings(zone=index % 3, zones=3, replicas=42, replica_index=index, rules=rules),
-                          [entry(f"h{number}", zone=number % 3) for number in range(60)], salt=index)
-        settle(gateway, 60, 80 * MS, 20 * MS)
-        gateway.list(ListKind.FULL, [
+        gateway = SimulatedGateway(make_settings(zone=index % 3, zones=3, replicas=42, replica_index=index,
+                                                 rules=rules),
+                                   [entry(f"h{number}", zone=number % 3) for number in range(60)], salt=index)
+        run_sequential_requests(gateway, 60, 80 * MS, 20 * MS)
+        gateway.update_list(ListKind.FULL, [
             entry(f"new{number}", zone=number % 3, started_ns=gateway.now) for number in range(60)])
         gateway.sends.clear()
         until = gateway.now + 1500 * MS
@@ -583,16 +585,16 @@
             for _ in range(8):
                 gateway.request()
             serve_all(gateway, 100 * MS)
-        sent += gateway.hosts_sent()
+        sent += gateway.attempts_per_host()
     # One core serves 12.5 requests per second; cold, 0.12 to 0.18 of that in this time.
     assert max(sent.values()) < 3.0 * 0.15 * 12.5 * 1.5
 
 
 def test_the_worst_class_is_not_starved_by_more_valuable_ones() -> None:
     """By worth per work alone, a cheap class would go unserved, but the goal includes the worst class."""
-    valuable, cheap = a_class(name="dear", worth=10.0), a_class(name="cheap", worth=5.0)
-    gateway = Gateway(some_settings(valuable, cheap, goal=Goal(whole=0.55, worst_class=0.3)),
-                      [entry("a"), entry("b")])
+    valuable, cheap = make_class(name="dear", worth=10.0), make_class(name="cheap", worth=5.0)
+    gateway = SimulatedGateway(make_settings(valuable, cheap, goal=Goal(whole=0.55, worst_class=0.3)),
+                               [entry("a"), entry("b")])
     rids_by_class: tuple[list[int], list[int]] = ([], [])
     for _ in range(200):   # twice the capacity
         gateway.module._near.limit = 4.0
@@ -605,12 +607,12 @@
 
 
 def test_open_requests_keep_their_class_and_attempt_limit_under_new_settings() -> None:
-    before = some_settings(a_class(name="a"), a_class(Effect.UNSAFE, name="b"), limits=Limits(max_attempts=3))
-    gateway = Gateway(before, [entry(f"h{n}") for n in range(6)])
-    settle(gateway, 20, 20 * MS)
+    before = make_settings(make_class(name="a"), make_class(Effect.UNSAFE, name="b"), limits=Limits(max_attempts=3))
+    gateway = SimulatedGateway(before, [entry(f"h{n}") for n in range(6)])
+    run_sequential_requests(gateway, 20, 20 * MS)
     mean_before = gateway.module._classes[0].mean
     safe, unsafe = gateway.request(cls=0), gateway.request(cls=1)
-    after = some_settings(a_class(Effect.UNSAFE, name="a"), a_class(name="c"), limits=Limits(max_attempts=1))
+    after = make_settings(make_class(Effect.UNSAFE, name="a"), make_class(name="c"), limits=Limits(max_attempts=1))
     gateway.module.on_settings(gateway.now, after)
     assert gateway.module._classes[0].mean == mean_before
     sent = len(gateway.sends)
@@ -628,8 +630,8 @@
 
 def test_a_server_that_one_class_still_uses_is_not_unavailable() -> None:
     """A server that short requests avoid must not count while long requests are still sent to it."""
-    classes = (a_class(name="short"), a_class(name="long", aim_ns=2 * SECOND, deadline_ns=5 * SECOND))
-    gateway = Gateway(some_settings(*classes), [entry("sick"), entry("well")])
+    classes = (make_class(name="short"), make_class(name="long", aim_ns=2 * SECOND, deadline_ns=5 * SECOND))
+    gateway = SimulatedGateway(make_settings(*classes), [entry("sick"), entry("well")])
 
     def ask(cls: int) -> HostId:
         rid = gateway.request(cls)
@@ -649,7 +651,7 @@
 
 def test_servers_that_fail_or_drain_are_unavailable() -> None:
     hosts = [entry(f"h{n}") for n in range(4)] + [entry("leaving", state=HostState.DRAINING)]
-    gateway = Gateway(some_settings(), hosts)
+    gateway = SimulatedGateway(make_settings(), hosts)
     assert gateway.module.members_unavailable(gateway.now) == 1
     for _ in range(40):   # one server fails, the others respond
         rid = gateway.request()
@@ -662,7 +664,7 @@
     assert gateway.module.members_unavailable(gateway.now) == 2
 
 
-def long_body(gateway: Gateway, cls: int = 0) -> int:
+def long_body(gateway: SimulatedGateway, cls: int = 0) -> int:
     """A request whose body is longer than the part that is kept for a retry."""
     rid = gateway.request(cls)
     gateway.module.on_body_streaming(gateway.now, rid, 0)
@@ -670,7 +672,7 @@
 
 
 def test_the_time_of_a_request_with_a_long_body_starts_at_its_last_byte() -> None:
-    gateway = Gateway(some_settings(), [entry(f"h{n}") for n in range(4)])
+    gateway = SimulatedGateway(make_settings(), [entry(f"h{n}") for n in range(4)])
     rid = long_body(gateway)
     gateway.held[rid].deadline = 60 * SECOND
     gateway.run(5 * SECOND)
@@ -684,7 +686,7 @@
 
 @pytest.mark.parametrize("whole", [False, True])
 def test_a_streamed_body_is_not_sent_again(whole: bool) -> None:
-    gateway = Gateway(some_settings(a_class(Effect.UNSAFE)), [entry(f"h{n}") for n in range(4)])
+    gateway = SimulatedGateway(make_settings(make_class(Effect.UNSAFE)), [entry(f"h{n}") for n in range(4)])
     rid = long_body(gateway)
     if whole:
         gateway.module.on_body_complete(gateway.now, rid, SECOND)
@@ -695,7 +697,7 @@
 
 
 def test_streamed_bodies_do_not_count_as_in_flight() -> None:
-    gateway = Gateway(some_settings(), [entry("h0"), entry("h1")])
+    gateway = SimulatedGateway(make_settings(), [entry("h0"), entry("h1")])
     pool = gateway.module._near
     receiving, responding = long_body(gateway), gateway.request()
     assert pool.inflight == 1
@@ -710,8 +712,9 @@
 
 
 def test_a_rejected_request_fails_and_is_no_evidence_against_its_host() -> None:
-    gateway = Gateway(some_settings(a_class(), a_class(Effect.KEYED, name="k")), [entry("h0"), entry("h1")])
-    settle(gateway, 20, 20 * MS)
+    gateway = SimulatedGateway(make_settings(make_class(), make_class(Effect.KEYED, name="k")),
+                               [entry("h0"), entry("h1")])
+    run_sequential_requests(gateway, 20, 20 * MS)
     for number in range(10):
         rid = gateway.request(number % 2)
         gateway.outcome(rid, Outcome.REJECTED)
@@ -722,11 +725,11 @@
 
 
 def test_a_retry_in_a_zone_that_new_settings_removed_fails() -> None:
-    classes = (a_class(Effect.KEYED, Group.ZONE),)
-    gateway = Gateway(some_settings(*classes, zones=3), [entry("h0", zone=2), entry("h1", zone=2)])
+    classes = (make_class(Effect.KEYED, Group.ZONE),)
+    gateway = SimulatedGateway(make_settings(*classes, zones=3), [entry("h0", zone=2), entry("h1", zone=2)])
     rid = gateway.request()
     gateway.outcome(rid, Outcome.RESET)
-    gateway.module.on_settings(gateway.now, some_settings(*classes, zones=1))
+    gateway.module.on_settings(gateway.now, make_settings(*classes, zones=1))
     gateway.run(gateway.now + SECOND)
     assert gateway.ends[rid] == "fail"
     assert not gateway.broken
@@ -735,8 +738,8 @@
 @pytest.mark.parametrize(("effect", "window"), [(Effect.UNSAFE, 0), (Effect.KEYED, 200 * MS)])
 def test_a_request_that_may_never_be_retried_fails_at_once(effect: Effect, window: int) -> None:
     """Waiting until its time is nearly over would leave its client no time for a retry."""
-    gateway = Gateway(some_settings(a_class(effect, window_ns=window, deadline_ns=4 * SECOND)),
-                      [entry("h0"), entry("h1")])
+    gateway = SimulatedGateway(make_settings(make_class(effect, window_ns=window, deadline_ns=4 * SECOND)),
+                               [entry("h0"), entry("h1")])
     rid = gateway.request()
     gateway.run(250 * MS)
     gateway.outcome(rid, Outcome.RESET)
@@ -746,16 +749,16 @@
 
 
 def test_requests_wait_while_the_lease_has_ended_and_are_refused_unsent() -> None:
-    gateway = Gateway(some_settings(a_class()), [entry(f"h{n}") for n in range(4)])
-    gateway.lease(False)
+    gateway = SimulatedGateway(make_settings(make_class()), [entry(f"h{n}") for n in range(4)])
+    gateway.set_list_valid(False)
     in_time, too_late = gateway.request(), gateway.request()
     gateway.run(150 * MS)
     assert not gateway.sends
-    gateway.lease(True)
+    gateway.set_list_valid(True)
     assert len(gateway.sends) == 2
     gateway.outcome(in_time, Outcome.OK)
     gateway.outcome(too_late, Outcome.FULL)
-    gateway.lease(False)
+    gateway.set_list_valid(False)
     last = gateway.request()
     gateway.run(3 * SECOND)
     assert len(gateway.sends) == 2   # neither the new one nor the retry
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,7 +15,7 @@
 from gateway.start_times import StartTimes
 from gateway.timers import Timers, now_ns
 from gateway.update_parser import MAX_UPDATE_BYTES, ListedHost, UpdateParser
-from tests.sockets import FakeDiscovery, FakeHost, Stage, play, request, until
+from tests.sockets import FakeDiscovery, FakeHost, GatewayHarness, request, run_scenario, wait_until
 
 ROW: dict[str, Any] = {"instanceId": "h0", "hostPort": "127.0.0.1:7070", "zone": "b", "machineType": "m2",
                        "cell": 3, "lifecycle": "in_service", "weight": 1.5, "startedAtMs": 2000}
@@ -65,12 +65,12 @@
         discovery.watch(True)   # a second one would cost lines and tell nothing
         first, writer = await fake.calls.get()
         assert first == "GET /registry/instances?watch=1&from=41 HTTP/1.1"
-        fake.head(writer)
-        fake.raw(writer, b"\n")
-        fake.line(writer, 43, [{**ROW, "lifecycle": "terminating"}])
+        fake.send_head(writer)
+        fake.send_chunk(writer, b"\n")
+        fake.send_update(writer, 43, [{**ROW, "lifecycle": "terminating"}])
         kind, [item] = await heard.told.get()
         assert (kind, item.entry.state) == (ListKind.DELTA, HostState.DRAINING)
-        fake.line(writer, 44, [ROW], reset=True)
+        fake.send_update(writer, 44, [ROW], reset=True)
         assert (await heard.told.get())[0] is ListKind.FULL
         writer.close()
         assert await heard.told.get() == (ListKind.FAILED, [])
@@ -78,7 +78,7 @@
         first, _ = await fake.calls.get()
         assert "from=44" in first
         assert fake.calls.empty()
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("line", [b"{not json}\n", b"[1]\n", b'{"generation": 44}\n', b"[" * 9999 + b"\n",
@@ -89,12 +89,12 @@
         fake, discovery = await heard.start()
         discovery.watch(True)
         _, writer = await fake.calls.get()
-        fake.head(writer)
-        fake.raw(writer, line)
+        fake.send_head(writer)
+        fake.send_chunk(writer, line)
         assert await heard.told.get() == (ListKind.FAILED, [])
         discovery.watch(True)
         assert "from=41" in (await fake.calls.get())[0]
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", b"noise\r\n\r\n",
@@ -113,7 +113,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         assert await heard.told.get() == (ListKind.FULL, [])
         assert heard.told.empty()
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -123,8 +123,8 @@
         fake, discovery = await heard.start()
         discovery.watch(True)
         _, writer = await fake.calls.get()
-        fake.head(writer)
-        fake.line(writer, 43, [])
+        fake.send_head(writer)
+        fake.send_update(writer, 43, [])
         assert await heard.told.get() == (ListKind.DELTA, [])
         since = now_ns()
         first, _ = await fake.calls.get()   # from here: the module would wait before it asks
@@ -132,7 +132,7 @@
         # A heartbeat is late; the change counts as told 6 s on, and a call may wait 3 s for its turn.
         assert 2200 * MS <= now_ns() - since < 2700 * MS
         assert heard.told.empty()
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_watch_that_falls_silent_just_after_its_head_has_failed() -> None:
@@ -141,11 +141,11 @@
         fake, discovery = await heard.start()
         discovery.watch(True)
         _, writer = await fake.calls.get()
-        fake.head(writer)
+        fake.send_head(writer)
         since = now_ns()
         assert await heard.told.get() == (ListKind.FAILED, [])
         assert now_ns() - since < 3300 * MS
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_pushed_watch_is_back_within_the_time_for_following_a_change_once_the_service_is() -> None:
@@ -162,7 +162,7 @@
             assert "watch=1" in first
             assert now_ns() - since < 250 * MS
             writer.write(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_pushed_watch_that_has_waited_in_vain_rests_longer_each_time() -> None:
@@ -174,14 +174,14 @@
         _, writer = await fake.calls.get()
         for _ in range(3):
             waited = now_ns() + IMMEDIATE_FAILURE_NS
-            await until(lambda waited=waited: now_ns() > waited)   # type: ignore[misc]
+            await wait_until(lambda waited=waited: now_ns() > waited)   # type: ignore[misc]
             writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             assert (await heard.told.get())[0] is ListKind.FAILED
             since = now_ns()
             _, writer = await fake.calls.get()
             rests.append(now_ns() - since)
         assert rests[2] > 500 * MS > 400 * MS > rests[0]
-    play(scene)
+    run_scenario(scene)
 
 
 def test_where_lists_are_pushed_the_watch_begins_by_itself_and_again() -> None:
@@ -192,26 +192,26 @@
         writer.close()
         assert await heard.told.get() == (ListKind.FAILED, [])
         assert "watch=1" in (await fake.calls.get())[0]
-    play(scene)
+    run_scenario(scene)
 
 
 def test_the_sockets_follow_the_list() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host, other = FakeHost("h0"), FakeHost("h1")
-            await stage.begin(host, other, rows=[])
+            await stage.start(host, other, instances=[])
             client = await stage.client()
             _, writer = await stage.discovery.calls.get()
-            stage.discovery.head(writer)
-            stage.discovery.line(writer, 42, [host.row()])
-            await until(lambda: stage.gateway.core.has_hosts)
-            assert (await client.ask(request()))[0] == 200
-            seen = await host.seen.get()
-            stage.discovery.line(writer, 43, [other.row()], reset=True)
-            await seen.closed()   # the list no longer names it
-            assert (await client.ask(request(rid="r2")))[0] == 200
-            assert (await other.seen.get()).headers["x-request-id"] == "r2"
-    play(scene)
+            stage.discovery.send_head(writer)
+            stage.discovery.send_update(writer, 42, [host.instance()])
+            await wait_until(lambda: stage.gateway.core.has_hosts)
+            assert (await client.fetch(request()))[0] == 200
+            seen = await host.received.get()
+            stage.discovery.send_update(writer, 43, [other.instance()], reset=True)
+            await seen.wait_closed()   # the list no longer names it
+            assert (await client.fetch(request(rid="r2")))[0] == 200
+            assert (await other.received.get()).headers["x-request-id"] == "r2"
+    run_scenario(scene)
 
 
 def test_a_moved_discovery_gets_the_calls_and_the_old_one_is_left() -> None:
@@ -231,13 +231,13 @@
             async def poke(writer: asyncio.StreamWriter = writer) -> None:
                 writer.write(b" ")
                 await asyncio.sleep(0)
-            await until(writer.is_closing, poke)   # nobody reads there any more
+            await wait_until(writer.is_closing, poke)   # nobody reads there any more
         writer = next(writer for first, writer in calls.items() if "watch" in first)
-        new.head(writer)
-        new.line(writer, 3, [ROW], reset=True)
+        new.send_head(writer)
+        new.send_update(writer, 3, [ROW], reset=True)
         assert (await heard.told.get())[0] is ListKind.FULL
         discovery.close()
-    play(scene)
+    run_scenario(scene)
 
 
 def test_an_answer_may_come_in_pieces_of_any_size() -> None:
@@ -255,7 +255,7 @@
             await asyncio.sleep(0)   # the loop turns: each byte is read by itself
         assert (await heard.told.get())[0] is ListKind.DELTA
         assert heard.told.empty()
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("indent", [0, 2, None])
@@ -266,18 +266,18 @@
         fake, discovery = await heard.start()
         discovery.watch(True)
         _, writer = await fake.calls.get()
-        fake.head(writer)
+        fake.send_head(writer)
         rows = [ROW, {**ROW, "instanceId": 'h"1\\', "lifecycle": "terminating"}]
         for generation in (43, 44):
             text = json.dumps({"generation": generation, "reset": True, "instances": rows}, indent=indent)
             data = text.encode() + b"\n\n"   # and the empty line of a quiet time
             for at in range(0, len(data), piece):
-                fake.raw(writer, data[at:at + piece])
+                fake.send_chunk(writer, data[at:at + piece])
             kind, listed = await heard.told.get()
             assert (kind, [item.entry.host for item in listed]) == (ListKind.FULL, ["h0", 'h"1\\'])
         assert discovery.generation == 44
         assert heard.told.empty()
-    play(scene)
+    run_scenario(scene)
 
 
 WHOLE = json.dumps({"generation": 43, "reset": False, "instances": [ROW]}).encode()
@@ -291,16 +291,16 @@
         heard = Heard(pushed=True)
         fake, discovery = await heard.start()
         _, writer = await fake.calls.get()
-        fake.head(writer)
-        fake.raw(writer, cut + after)
+        fake.send_head(writer)
+        fake.send_chunk(writer, cut + after)
         begun = now_ns()
         first, writer = await fake.calls.get()   # begun anew, from the last good version
         assert "from=41" in first
         assert now_ns() - begun < SECOND
-        fake.head(writer)
-        fake.raw(writer, WHOLE + b"\n")
-        await until(lambda: discovery.generation == 43)
-    play(scene)
+        fake.send_head(writer)
+        fake.send_chunk(writer, WHOLE + b"\n")
+        await wait_until(lambda: discovery.generation == 43)
+    run_scenario(scene)
 
 
 def test_a_broken_entry_of_a_known_host_costs_no_change_and_makes_none() -> None:
@@ -320,26 +320,26 @@
 
 def test_the_whole_gateway_asks_again_soon_after_a_call_in_vain_and_follows_a_list_that_leaves_a_host_out() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             leaving, staying = FakeHost("h0"), FakeHost("h1")
-            await stage.begin(leaving, staying, rules={"ask-within-ns": 10 * SECOND})
+            await stage.start(leaving, staying, rules={"ask-within-ns": 10 * SECOND})
             client = await stage.client()
             _, writer = await stage.discovery.calls.get()
             since = now_ns()
             number = 0
             while now_ns() - since < SECOND:   # it waits its turn, and in vain
                 number += 1
-                assert (await client.ask(request(rid=f"r{number}")))[0] == 200
+                assert (await client.fetch(request(rid=f"r{number}")))[0] == 200
             writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             since = now_ns()
             _, writer = await stage.discovery.calls.get()
             assert now_ns() - since < 490 * MS   # a call in vain, the rest and the next turn: 6 s in all
-            stage.discovery.head(writer)
-            stage.discovery.line(writer, 42, [staying.row()], reset=True)
-            await until(lambda: stage.gateway.upstream.host_count == 1)
-            while not leaving.seen.empty():
-                leaving.seen.get_nowait()
+            stage.discovery.send_head(writer)
+            stage.discovery.send_update(writer, 42, [staying.instance()], reset=True)
+            await wait_until(lambda: stage.gateway.upstream.host_count == 1)
+            while not leaving.received.empty():
+                leaving.received.get_nowait()
             for late in range(30):
-                assert (await client.ask(request(rid=f"late{late}")))[0] == 200
-            assert leaving.seen.empty()
-    play(scene)
+                assert (await client.fetch(request(rid=f"late{late}")))[0] == 200
+            assert leaving.received.empty()
+    run_scenario(scene)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -16,7 +16,7 @@
 from gateway.program import SWEEP_INTERVAL_NS
 from gateway.server import HEAD_TIMEOUT_NS
 from gateway.timers import now_ns
-from tests.sockets import OK, Client, FakeHost, Stage, play, request, rested, until
+from tests.sockets import OK, Client, FakeHost, GatewayHarness, request, run_scenario, wait_until, wait_until_reusable
 from tests.test_operations import HEALTH, OPERATOR, figures
 from tests.test_server import Sends
 
@@ -57,42 +57,42 @@
 
 def test_long_request_body_is_forwarded_completely() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host, told=OPERATOR)
+            await stage.start(host, config=OPERATOR)
             client = await stage.client()
             for number in range(2):   # twice: both connections can be reused
-                assert (await client.ask(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
-                seen = await host.seen.get()
+                assert (await client.fetch(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
+                seen = await host.received.get()
                 assert (seen.body, seen.headers["content-length"]) == (LONG, str(len(LONG)))
-                await rested()
+                await wait_until_reusable()
             assert host.connections == 1
             metrics = await figures(stage)
             assert (metrics["upstream_requests"], metrics["downstream_requests.keyed.completed"]) == (2, 2)
-    play(scene)
+    run_scenario(scene)
 
 
 def test_long_chunked_request_body_is_forwarded_in_chunks() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked")
                         + chunks(LONG, extension=b";a=b") + b"0\r\nX-Request-ID: other\r\n\r\n")
-            seen = await host.seen.get()
+            seen = await host.received.get()
             assert "content-length" not in seen.headers
             assert await read_chunks(seen.reader) == LONG
-            seen.reply()
-            assert (await client.answer())[0] == 200
-    play(scene)
+            seen.respond()
+            assert (await client.read_response())[0] == 200
+    run_scenario(scene)
 
 
 def test_requests_that_arrive_byte_by_byte_are_parsed_correctly() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host)
+            await stage.start(host)
             client = await stage.client()
             data = (request("once", rid="r0", body=b"x" * 50)
                     + request("once", rid="r1", drop="Content-Length", Transfer_Encoding="chunked")
@@ -102,61 +102,61 @@
                 await client.writer.drain()
                 await asyncio.sleep(0)
             for body in (b"x" * 50, b"y" * 50, b""):
-                assert (await client.answer())[0] == 200
-                assert (await host.seen.get()).body == body
-    play(scene)
+                assert (await client.read_response())[0] == 200
+                assert (await host.received.get()).body == body
+    run_scenario(scene)
 
 
 def test_100_continue_is_sent_after_the_responses_of_earlier_requests() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             long = request("once", rid="r1", body=LONG, Expect="100-continue")
             client.send(request(rid="r0") + long.removesuffix(LONG))
-            (await host.seen.get()).reply(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-            assert (await client.answer())[0] == 200   # the earlier request is answered first
+            (await host.received.get()).respond(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+            assert (await client.read_response())[0] == 200   # the earlier request is answered first
             assert await client.reader.readexactly(25) == b"HTTP/1.1 100 Continue\r\n\r\n"
             client.send(LONG)
-            seen = await host.seen.get()
+            seen = await host.received.get()
             assert seen.body == LONG
-            seen.reply()
-            assert (await client.answer())[0] == 200
-    play(scene)
+            seen.respond()
+            assert (await client.read_response())[0] == 200
+    run_scenario(scene)
 
 
 def test_white_space_around_header_values_is_ignored() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host)
+            await stage.start(host)
             client = await stage.client()
             data = request("keyed", body=b"1234")
             lines = data.replace(b"\r\n", b" \t\r\n").replace(b" \t\r\n \t\r\n", b" \t\r\n\r\n")
             lines = lines.replace(b" HTTP/1.1 \t", b" HTTP/1.1").replace(b": ", b":\t ")
-            assert (await client.ask(lines))[0] == 200
-            seen = await host.seen.get()
+            assert (await client.fetch(lines))[0] == 200
+            seen = await host.received.get()
             assert (seen.body, seen.headers["idempotency-key"]) == (b"1234", "kr1")
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 def test_long_response_is_forwarded_completely_in_every_framing(framing: str, version: bytes) -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host, config=OPERATOR)
             client = await stage.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
-            seen = await host.seen.get()
+            seen = await host.received.get()
             if framing == "length":
-                seen.reply(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG)
+                seen.respond(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG)
             elif framing == "chunks":
-                seen.reply(CHUNKED + chunks(LONG, extension=b";x") + b"0\r\nTrailer: 1\r\n\r\n")
+                seen.respond(CHUNKED + chunks(LONG, extension=b";x") + b"0\r\nTrailer: 1\r\n\r\n")
             else:
-                seen.reply(b"HTTP/1.1 200 OK\r\n\r\n" + LONG)
+                seen.respond(b"HTTP/1.1 200 OK\r\n\r\n" + LONG)
                 seen.writer.close()
             response_head = await read_head(client)
             if b"transfer-encoding: chunked" in response_head:
@@ -168,7 +168,7 @@
                 assert b"connection: close" in response_head
                 assert await client.reader.read(-1) == LONG
             assert (await figures(stage))["downstream_requests.read.completed"] == 1
-    play(scene)
+    run_scenario(scene)
 
 
 def test_late_response_of_unknown_length_is_not_truncated_at_the_deadline(
@@ -180,33 +180,33 @@
     monkeypatch.setattr(upstream, "UNKNOWN_LENGTH_BUFFER_NS", 10 * SECOND)
 
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             client.send(request(X_Timeout_Ms="900"))
-            seen = await host.seen.get()
-            seen.reply(CHUNKED + chunks(b"first"))
+            seen = await host.received.get()
+            seen.respond(CHUNKED + chunks(b"first"))
             assert b" 200 " in await read_head(client)
-            seen.reply(chunks(LONG) + b"0\r\n\r\n")
+            seen.respond(chunks(LONG) + b"0\r\n\r\n")
             assert await read_chunks(client.reader) == b"first" + LONG
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 def test_client_can_detect_a_truncated_long_response(framing: str, version: bytes) -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host, config=OPERATOR)
             client = await stage.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
-            seen = await host.seen.get()
+            seen = await host.received.get()
             if framing == "length":
-                seen.reply(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(LONG)) + LONG)
+                seen.respond(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(LONG)) + LONG)
             else:
-                seen.reply(CHUNKED + chunks(LONG))
+                seen.respond(CHUNKED + chunks(LONG))
             seen.writer.close()
             await read_head(client)
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
@@ -216,35 +216,35 @@
                 else:
                     await read_chunks(client.reader)
             assert (await figures(stage))["downstream_requests.read.failed"] == 1
-    play(scene)
+    run_scenario(scene)
 
 
 def test_client_that_does_not_read_slows_down_only_its_own_host() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            slow = FakeHost(reply=None)
-            await stage.begin(slow)
+        async with GatewayHarness() as stage:
+            slow = FakeHost(response=None)
+            await stage.start(slow)
             client = await stage.client()
             client.send(request())
-            seen = await slow.seen.get()
+            seen = await slow.received.get()
             long = LONG * 8
-            seen.reply(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long) + long)
+            seen.respond(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long) + long)
             server = stage.gateway.server
             conn = next(iter(server._connections))
-            await until(lambda: bool(conn._write_blocked_since))
+            await wait_until(lambda: bool(conn._write_blocked_since))
             assert conn.transport is not None
             assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest stays at the host
-            assert (await (await stage.client()).ask(HEALTH))[0] == 200
+            assert (await (await stage.client()).fetch(HEALTH))[0] == 200
             await read_head(client)
             assert await client.reader.readexactly(len(long)) == long
-    play(scene)
+    run_scenario(scene)
 
 
 def test_body_over_the_size_limit_gets_413_and_the_host_gets_no_complete_body() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked"))
 
@@ -253,59 +253,59 @@
                     client.send(chunks(LONG))
                     await client.writer.drain()
             sending = asyncio.ensure_future(send())
-            seen = await host.seen.get()
-            await seen.closed()
-            assert (await client.answer())[0] == 413
+            seen = await host.received.get()
+            await seen.wait_closed()
+            assert (await client.read_response())[0] == 413
             sending.cancel()
-    play(scene)
+    run_scenario(scene)
 
 
 def test_disconnect_during_a_request_body_closes_the_host_connection() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked") + chunks(LONG))
-            seen = await host.seen.get()
+            seen = await host.received.get()
             client.writer.close()
-            await seen.closed()
-            await until(lambda: not stage.gateway.core.open_requests())
-    play(scene)
+            await seen.wait_closed()
+            await wait_until(lambda: not stage.gateway.core.open_requests())
+    run_scenario(scene)
 
 
 def test_connection_stays_usable_after_503_during_a_request_body() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=RefusesAfterFull)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host, module_factory=RefusesAfterFull)
             client = await stage.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked") + chunks(LONG))
-            (await host.seen.get()).reply(FULL)
-            assert (await client.answer())[0] == 503
+            (await host.received.get()).respond(FULL)
+            assert (await client.read_response())[0] == 503
             client.send(chunks(LONG) + b"0\r\n\r\n" + request(rid="r2"))
-            (await host.seen.get()).reply()
-            assert (await client.answer())[0] == 200
-    play(scene)
+            (await host.received.get()).respond()
+            assert (await client.read_response())[0] == 200
+    run_scenario(scene)
 
 
 def test_request_body_without_progress_gets_408() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             steady, stalled = await stage.client(), await stage.client()
             for client, rid in ((steady, "r1"), (stalled, "r2")):
                 client.send(request("once", rid=rid, Content_Length=str(len(LONG))))
             steady.send(LONG[:200_000])
             server = stage.gateway.server
-            await until(lambda: len(server._connections) == 2 and all(
+            await wait_until(lambda: len(server._connections) == 2 and all(
                 conn._body_started_at for conn in server._connections)
                 and max(conn._received for conn in server._connections) == 200_000)
             server.sweep(now_ns() + HEAD_TIMEOUT_NS + SECOND)   # 3.4 s, while the timeout of the request is 6 s
-            assert (await stalled.answer())[0] == 408
+            assert (await stalled.read_response())[0] == 408
             assert not steady.reader.at_eof()
-    play(scene)
+    run_scenario(scene)
 
 
 class FakeSink:
@@ -352,16 +352,17 @@
 
 def test_long_body_over_the_memory_budget_gets_503_and_is_not_sent() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host)
+            await stage.start(host)
             stage.gateway.stream_budget.max_bytes = 1000
             client = await stage.client()
-            status, headers, _ = await client.ask(request("once", body=LONG[:2 * MAX_REPLAY_BYTES]))
+            status, headers, _ = await client.fetch(request("once", body=LONG[:2 * MAX_REPLAY_BYTES]))
             assert (status, headers["connection"]) == (503, "close")
-            assert (await (await stage.client()).ask(request("once", rid="r2", body=LONG[:MAX_REPLAY_BYTES])))[0] == 200
-            assert (await host.seen.get()).headers["x-request-id"] == "r2"
-    play(scene)
+            assert (await (await stage.client()).fetch(
+                request("once", rid="r2", body=LONG[:MAX_REPLAY_BYTES])))[0] == 200
+            assert (await host.received.get()).headers["x-request-id"] == "r2"
+    run_scenario(scene)
 
 
 def test_head_timeout_is_between_two_and_three_seconds() -> None:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -10,7 +10,7 @@
 SCRIPT = """
 from tests.gateway import *
 from bridgesaddle.api import *
-gateway = Gateway(some_settings(zones=2, replicas=9), [entry(f"h{n}", zone=n % 2) for n in range(30)])
+gateway = SimulatedGateway(make_settings(zones=2, replicas=9), [entry(f"h{n}", zone=n % 2) for n in range(30)])
 for number in range(300):
     rid = gateway.request()
     gateway.run(gateway.now + 7 * MS)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -23,7 +23,7 @@
 from gateway import program
 from gateway.__main__ import start
 from gateway.handover import Handover
-from tests.sockets import OK, SETTINGS, Client, FakeDiscovery, FakeHost, play, request
+from tests.sockets import OK, SETTINGS, Client, FakeDiscovery, FakeHost, request, run_scenario
 
 ROOT = Path(__file__).parent.parent
 COMMAND = [sys.executable, "-B", "-m", "gateway"]
@@ -33,7 +33,7 @@
 
 def write_config(path: Path, discovery: FakeDiscovery, *hosts: FakeHost) -> dict[str, Any]:
     config = {"listen": "127.0.0.1:0", "discovery": discovery.address, "seed": "7", "settings": SETTINGS,
-              "known": {"generation": 41, "reset": True, "instances": [host.row() for host in hosts]}}
+              "known": {"generation": 41, "reset": True, "instances": [host.instance() for host in hosts]}}
     path.write_text(json.dumps(config))
     return config
 
@@ -65,7 +65,7 @@
     while True:
         client = await connect(where)
         try:
-            if (await client.ask(request()))[0] == 200:
+            if (await client.fetch(request()))[0] == 200:
                 return client
         except (OSError, asyncio.IncompleteReadError):
             pass   # there was no room
@@ -86,36 +86,36 @@
 
 def test_sigterm_answers_what_is_held_and_what_still_comes(tmp_path: Path) -> None:
     async def scene() -> None:
-        host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
+        host, discovery = await FakeHost(response=None).start(), await FakeDiscovery(sends_first_update=True).start()
         write_config(tmp_path / "c", discovery, host)
         program, where = await launch(tmp_path / "c")
         idle, busy = await connect(where), await connect(where)
-        assert (await idle.ask(READY))[0] == 200
+        assert (await idle.fetch(READY))[0] == 200
         busy.send(request())
-        seen = await host.seen.get()
+        seen = await host.received.get()
         program.send_signal(signal.SIGTERM)
         late = await connect(where)              # new connections still come for a while
-        while (answer := await late.ask(READY))[0] == 200:
+        while (answer := await late.fetch(READY))[0] == 200:
             pass                                 # the signal is still on its way
         assert (answer[0], answer[1]["connection"]) == (503, "close")
         assert await idle.reader.read() == b""   # closed between requests
-        seen.reply()
-        status, headers, _ = await busy.answer()
+        seen.respond()
+        status, headers, _ = await busy.read_response()
         assert (status, headers["connection"]) == (200, "close")
         busy.writer.close()
         late.writer.close()
         assert await program.wait() == 0
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_restart_is_at_once(tmp_path: Path) -> None:
     async def scene() -> None:
-        host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
+        host, discovery = await FakeHost(response=None).start(), await FakeDiscovery(sends_first_update=True).start()
         config = write_config(tmp_path / "c", discovery, host)
         program, where = await launch(tmp_path / "c")
         busy = await connect(where)
         busy.send(request())
-        await host.seen.get()
+        await host.received.get()
         program.kill()
         await program.wait()
         (tmp_path / "c").write_text(json.dumps({**config, "listen": f"{where[0]}:{where[1]}"}))
@@ -123,7 +123,7 @@
         assert again == where
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256])
@@ -152,22 +152,22 @@
         server = await asyncio.start_server(discovery.serve, "127.0.0.1", number)
         first, writer = await discovery.calls.get()
         assert "watch=1" in first
-        discovery.head(writer)
-        discovery.line(writer, 42, [host.row()], reset=True)
+        discovery.send_head(writer)
+        discovery.send_update(writer, 42, [host.instance()], reset=True)
         operator = await connect(("127.0.0.1", free_port))
-        assert (await operator.ask(b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+        assert (await operator.fetch(b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
         await served(where)   # the crowd stays
         for sock in crowd:
             sock.close()
         server.close()
         program.kill()
         await program.wait()
-    play(scene)
+    run_scenario(scene)
 
 
 def test_running_out_of_descriptors_is_no_crash(tmp_path: Path) -> None:
     async def scene() -> None:
-        host, discovery = await FakeHost().start(), await FakeDiscovery(tells=True).start()
+        host, discovery = await FakeHost().start(), await FakeDiscovery(sends_first_update=True).start()
         write_config(tmp_path / "c", discovery, host)
         program, where = await launch(tmp_path / "c", sockets=40)
         crowd = [await connect(where) for _ in range(80)]
@@ -178,18 +178,18 @@
         program.send_signal(signal.SIGTERM)
         client.writer.close()
         assert await program.wait() == 0
-    play(scene)
+    run_scenario(scene)
 
 
 def test_sighup_moves_to_the_discovery_that_the_file_names(tmp_path: Path) -> None:
     """The program ended on SIGHUP."""
     async def scene() -> None:
         old, new = await FakeHost("h0").start(), await FakeHost("h1").start()
-        first, second = await FakeDiscovery(tells=True).start(), await FakeDiscovery().start()
+        first, second = await FakeDiscovery(sends_first_update=True).start(), await FakeDiscovery().start()
         config = write_config(tmp_path / "c", first, old)
         program, where = await launch(tmp_path / "c")
         client = await connect(where)
-        assert (await client.ask(request()))[0] == 200
+        assert (await client.fetch(request()))[0] == 200
         moved = json.dumps({**config, "discovery": second.address})
         for text in ("{", moved):   # a broken file changes nothing
             (tmp_path / "c").write_text(text)
@@ -200,16 +200,16 @@
                 line = await program.stderr.readline()
                 assert line, "the program has ended"
         _, writer = await second.calls.get()
-        second.head(writer)
-        second.line(writer, 1, [new.row()], reset=True)
+        second.send_head(writer)
+        second.send_update(writer, 1, [new.instance()], reset=True)
         number = 0
-        while new.seen.empty():
+        while new.received.empty():
             number += 1
-            assert (await client.ask(request(rid=f"n{number}")))[0] == 200
+            assert (await client.fetch(request(rid=f"n{number}")))[0] == 200
         client.writer.close()
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
-    play(scene)
+    run_scenario(scene)
 
 
 async def lines_until(program: asyncio.subprocess.Process, text: str) -> str:
@@ -224,7 +224,7 @@
 
 def test_a_new_process_takes_over_and_nothing_is_turned_back(tmp_path: Path, free_port: int) -> None:
     async def scene() -> None:
-        host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
+        host, discovery = await FakeHost(response=None).start(), await FakeDiscovery(sends_first_update=True).start()
         config = write_config(tmp_path / "c", discovery, host)
         (tmp_path / "gateway-127.0.0.1-0-leftover").touch()
         listen = f"127.0.0.1:{free_port}"
@@ -233,26 +233,26 @@
         (tmp_path / f"gateway-127.0.0.1-{free_port}-leftover").write_bytes(b"serving\n")   # of a killed one
         _, watch = await discovery.calls.get()
         busy, idle = await connect(where), await connect(where)
-        assert (await idle.ask(READY))[0] == 200
+        assert (await idle.fetch(READY))[0] == 200
         busy.send(request())
-        seen = await host.seen.get()
+        seen = await host.received.get()
         launching = asyncio.ensure_future(launch(tmp_path / "c", TMPDIR=str(tmp_path)))
         _, watch = await discovery.calls.get()   # the new one hears of the list before it listens
         assert not launching.done()
-        discovery.head(watch)
-        discovery.line(watch, 42, [host.row()], reset=True)
+        discovery.send_head(watch)
+        discovery.send_update(watch, 42, [host.instance()], reset=True)
         new, again = await launching
         assert again == where
         old.send_signal(signal.SIGTERM)
         await lines_until(old, "another process takes the clients")
-        assert (await idle.ask(READY))[0] == 200   # the address still takes clients
+        assert (await idle.fetch(READY))[0] == 200   # the address still takes clients
         late = await connect(where)
         late.send(request(rid="late"))
-        (await host.seen.get()).reply()
-        status, headers, _ = await late.answer()
+        (await host.received.get()).respond()
+        status, headers, _ = await late.read_response()
         assert (status, headers.get("connection")) == (200, None)   # by the new one
-        seen.reply()
-        status, headers, _ = await busy.answer()
+        seen.respond()
+        status, headers, _ = await busy.read_response()
         assert (status, headers["connection"]) == (200, "close")
         busy.writer.close()
         assert await old.wait() == 0
@@ -262,7 +262,7 @@
         assert await new.wait() == 0
         assert [path.name for path in tmp_path.iterdir() if path.name.startswith("gateway")] == [
             "gateway-127.0.0.1-0-leftover"]
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_start_beside_another_process_leaves_it_most_of_the_time(tmp_path: Path) -> None:
@@ -338,29 +338,29 @@
 
 def test_classes_are_added_dropped_and_changed_at_sighup(tmp_path: Path, free_port: int) -> None:
     async def scene() -> None:
-        host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
+        host, discovery = await FakeHost(response=None).start(), await FakeDiscovery(sends_first_update=True).start()
         told = write_config(tmp_path / "c", discovery, host)
         told["operator"] = f"127.0.0.1:{free_port}"
         (tmp_path / "c").write_text(json.dumps(told))
         program, where = await launch(tmp_path / "c")
         early, client = await connect(where), await connect(where)
         early.send(request(rid="early"))
-        seen = await host.seen.get()
+        seen = await host.received.get()
         read, keyed, once = SETTINGS["request-classes"]
         told["settings"] = {**SETTINGS, "request-classes": [
             {**keyed, "name": "new"}, {**once, "effect": "read_like"}]}
         (tmp_path / "c").write_text(json.dumps(told))
         assert "discovery is at" in await hup(program)
-        seen.reply(LAST)
-        assert (await early.answer())[0] == 200   # it came under the old rules
-        assert (await client.ask(request(rid="r1")))[0] == 404          # dropped
-        assert (await client.ask(request("once", rid="r2")))[0] == 400   # safe now: it comes as GET
+        seen.respond(LAST)
+        assert (await early.read_response())[0] == 200   # it came under the old rules
+        assert (await client.fetch(request(rid="r1")))[0] == 404          # dropped
+        assert (await client.fetch(request("once", rid="r2")))[0] == 400   # safe now: it comes as GET
         as_get = request("read", rid="r3", X_Priority_Class="once").replace(b"GET /read", b"GET /once")
         as_keyed = request("keyed", rid="r4", X_Priority_Class="new").replace(b"/keyed", b"/new")
         for data in (as_get, as_keyed):
             client.send(data)
-            (await host.seen.get()).reply(LAST)
-            assert (await client.answer())[0] == 200
+            (await host.received.get()).respond(LAST)
+            assert (await client.read_response())[0] == 200
         figures = await operator_figures(free_port)
         assert {name: figures[f"svc.{name}"] for name in (
             "downstream_requests.read.completed", "downstream_requests.new.completed",
@@ -371,12 +371,12 @@
         client.writer.close()
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
-    play(scene)
+    run_scenario(scene)
 
 
 def test_a_file_that_is_not_right_is_turned_down_whole(tmp_path: Path, free_port: int) -> None:
     async def scene() -> None:
-        host, discovery = await FakeHost().start(), await FakeDiscovery(tells=True).start()
+        host, discovery = await FakeHost().start(), await FakeDiscovery(sends_first_update=True).start()
         elsewhere = await FakeDiscovery().start()
         told = write_config(tmp_path / "c", discovery, host)
         told["operator"] = f"127.0.0.1:{free_port}"
@@ -402,9 +402,9 @@
         figures = await operator_figures(free_port)
         assert (figures["svc.config_reloads"], figures["svc.config_reload_errors"]) == (0, len(bad))
         client = await connect(where)
-        assert (await client.ask(request("once")))[0] == 200
+        assert (await client.fetch(request("once")))[0] == 200
         assert elsewhere.calls.empty()
         client.writer.close()
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_rig_links.py
+++ b/tests/test_rig_links.py
@@ -15,7 +15,7 @@
 from moleworks.rig.real.child import Clock
 from moleworks.rig.real.link import Link
 from moleworks.rig.real.udp import UdpLink
-from tests.sockets import play
+from tests.sockets import run_scenario
 
 
 class Pair:
@@ -60,7 +60,7 @@
 def scene(act: Callable[[Pair], Awaitable[None]]) -> None:
     async def run() -> None:
         await act(await Pair().start())
-    play(run)
+    run_scenario(run)
 
 
 async def quiet(reader: asyncio.StreamReader, seconds: float = 0.15) -> bool:
@@ -287,4 +287,4 @@
         for item in (transport, sender):
             item.close()
         link.close()
-    play(run)
+    run_scenario(run)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,16 +7,16 @@
 
 from bridgesaddle.api import MS, SECOND, Effect, Group, HostState, Limits, ListKind, Outcome, Rules
 
-from .gateway import Gateway, a_class, entry, some_settings
+from .gateway import SimulatedGateway, entry, make_class, make_settings
 
 CLASSES = (
-    a_class(),
-    a_class(Effect.KEYED, Group.ALL),
-    a_class(Effect.KEYED, Group.ZONE),
-    a_class(Effect.KEYED, Group.CELL),
-    a_class(Effect.KEYED, Group.ZONE, window_ns=400 * MS),
-    a_class(Effect.UNSAFE, late_worth=0.0),
-    a_class(stream=True),
+    make_class(),
+    make_class(Effect.KEYED, Group.ALL),
+    make_class(Effect.KEYED, Group.ZONE),
+    make_class(Effect.KEYED, Group.CELL),
+    make_class(Effect.KEYED, Group.ZONE, window_ns=400 * MS),
+    make_class(Effect.UNSAFE, late_worth=0.0),
+    make_class(stream=True),
 )
 OUTCOMES = [Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET,
             Outcome.CANCELLED, Outcome.REJECTED]
@@ -30,12 +30,12 @@
 TTLS_NS = [0, 1, 3 * MS, 80 * MS, *[SECOND] * 6]
 
 
-def play(steps: list[tuple[str, int, int]], limits: Limits, servers: int, zones: int, ask: bool) -> Gateway:
+def play(steps: list[tuple[str, int, int]], limits: Limits, servers: int, zones: int, ask: bool) -> SimulatedGateway:
     """Run one gateway through the steps, then advance the clock past every deadline."""
-    module_settings = some_settings(*CLASSES, zones=zones, limits=limits, ask_discovery=ask, replicas=3,
+    module_settings = make_settings(*CLASSES, zones=zones, limits=limits, ask_discovery=ask, replicas=3,
                                     rules=Rules(drain_grace_ns=0, cold_share=0.2))
     hosts = {n: entry(f"h{n}", zone=n % zones, cell=n % 3) for n in range(servers)}
-    gateway = Gateway(module_settings, list(hosts.values()))
+    gateway = SimulatedGateway(module_settings, list(hosts.values()))
     for kind, number, extra in steps:
         in_flight = [rid for rid, held in gateway.held.items() if held.out]
         if kind == "request":
@@ -49,11 +49,11 @@
                 gateway.module.on_outcome(gateway.now, rid, attempt, "h0", outcome, 1, False, ())
         elif kind == "first" and in_flight:
             rid = in_flight[number % len(in_flight)]
-            if gateway.held[rid].cls.stream and not gateway.held[rid].over:
-                gateway.held[rid].over = True   # its response is a stream now: no deadline applies any more
+            if gateway.held[rid].cls.stream and not gateway.held[rid].ended:
+                gateway.held[rid].ended = True   # its response is a stream now: no deadline applies any more
                 gateway.module.on_response_started(gateway.now, rid, min(gateway.held[rid].out))
         elif kind == "gone" and gateway.held:
-            gateway.gone(list(gateway.held)[number % len(gateway.held)])
+            gateway.disconnect_client(list(gateway.held)[number % len(gateway.held)])
         elif kind == "time":
             gateway.run(gateway.now + number * MS)
         elif kind in ("drain", "lost", "restart", "ready") and hosts:
@@ -61,15 +61,15 @@
             state = {"drain": HostState.DRAINING, "lost": HostState.GONE}.get(kind, HostState.READY)
             started = gateway.now + 1 if kind == "restart" else 0
             hosts[number] = hosts[number]._replace(state=state, started_ns=started)
-            gateway.list(ListKind.DELTA, [hosts[number]])
+            gateway.update_list(ListKind.DELTA, [hosts[number]])
         elif kind in ("too old", "renewed"):
-            gateway.lease(kind == "renewed")
+            gateway.set_list_valid(kind == "renewed")
         elif kind == "empty":
-            gateway.list(ListKind.FULL, [])
+            gateway.update_list(ListKind.FULL, [])
         elif kind == "whole":
-            gateway.list(ListKind.CACHED if number % 2 else ListKind.FULL, list(hosts.values()))
+            gateway.update_list(ListKind.CACHED if number % 2 else ListKind.FULL, list(hosts.values()))
         elif kind == "failed":
-            gateway.list(ListKind.FAILED, [])
+            gateway.update_list(ListKind.FAILED, [])
         elif kind == "peer":
             gateway.module.on_peer_message(gateway.now, number, b"\x00" * (number % 40))
         elif kind == "probed":
@@ -116,9 +116,9 @@
 
 def test_check_before_the_send_enforces_each_rule_by_itself() -> None:
     """Guards against a check before the send that relies on the choice of servers, which offers permitted ones only."""
-    keyed = a_class(Effect.KEYED, Group.CELL, window_ns=400 * MS)
-    module_settings = some_settings(keyed, limits=Limits(max_attempts=4, allows_concurrent_attempts=False))
-    gateway = Gateway(module_settings, [entry(f"h{n}", cell=n // 2) for n in range(4)])
+    keyed = make_class(Effect.KEYED, Group.CELL, window_ns=400 * MS)
+    module_settings = make_settings(keyed, limits=Limits(max_attempts=4, allows_concurrent_attempts=False))
+    gateway = SimulatedGateway(module_settings, [entry(f"h{n}", cell=n // 2) for n in range(4)])
     rid = gateway.request()
     module = gateway.module
     request = module._requests[rid]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -16,7 +16,7 @@
 from gateway.syscalls import pending_events
 from gateway.timers import now_ns
 from gateway.upstream import Connection
-from tests.sockets import OK, SETTINGS, FakeHost, Stage, play, request, rested, until
+from tests.sockets import OK, SETTINGS, FakeHost, GatewayHarness, request, run_scenario, wait_until, wait_until_reusable
 
 PAUSE_MARGIN_NS = 900 * MS
 """Margin for a pause of a busy machine, which must not make a test fail."""
@@ -97,34 +97,34 @@
 
 def test_request_is_forwarded_unchanged_except_for_hop_by_hop_headers() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host)
-            assert (await (await stage.client()).ask(KEYED))[::2] == (200, b"done")
-            seen = await host.seen.get()
-            assert (seen.first, seen.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
+            await stage.start(host)
+            assert (await (await stage.client()).fetch(KEYED))[::2] == (200, b"done")
+            seen = await host.received.get()
+            assert (seen.request_line, seen.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
             assert {name: seen.headers.get(name) for name in (
                 "x-request-id", "idempotency-key", "content-type", "x-hop", "connection")} == {
                 "x-request-id": "r1", "idempotency-key": "kr1", "content-type": "text/plain",
                 "x-hop": None, "connection": None}
             assert 0 < int(seen.headers["x-timeout-ms"]) < 6000
-    play(scene)
+    run_scenario(scene)
 
 
 def test_readiness_is_503_until_a_host_is_known() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = await FakeHost().start()
-            await stage.begin(rows=[])
+            await stage.start(instances=[])
             client = await stage.client()
             check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-            assert (await client.ask(check))[0] == 503
+            assert (await client.fetch(check))[0] == 503
             _, writer = await stage.discovery.calls.get()
-            stage.discovery.head(writer)
-            stage.discovery.line(writer, 42, [host.row()])
-            await until(lambda: stage.gateway.core.has_hosts)
-            assert (await client.ask(check))[0] == 200
-    play(scene)
+            stage.discovery.send_head(writer)
+            stage.discovery.send_update(writer, 42, [host.instance()])
+            await wait_until(lambda: stage.gateway.core.has_hosts)
+            assert (await client.fetch(check))[0] == 200
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(("status", "data"), [
@@ -164,114 +164,114 @@
 ])
 def test_invalid_request_gets_an_error_and_is_not_forwarded(status: int, data: bytes) -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host)
-            assert (await (await stage.client()).ask(data))[0] == status
-            assert (await (await stage.client()).ask(request(rid="good")))[0] == 200
-            assert (await host.seen.get()).headers["x-request-id"] == "good"
-            assert host.seen.empty()
-    play(scene)
+            await stage.start(host)
+            assert (await (await stage.client()).fetch(data))[0] == status
+            assert (await (await stage.client()).fetch(request(rid="good")))[0] == 200
+            assert (await host.received.get()).headers["x-request-id"] == "good"
+            assert host.received.empty()
+    run_scenario(scene)
 
 
 def test_body_of_the_replay_buffer_size_is_forwarded_both_ways() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             body = bytes(range(256)) * 256
-            host = FakeHost(reply=b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + body)
-            await stage.begin(host)
-            assert (await (await stage.client()).ask(request("once", body=body)))[::2] == (200, body)
-            assert (await host.seen.get()).body == body
-    play(scene)
+            host = FakeHost(response=b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + body)
+            await stage.start(host)
+            assert (await (await stage.client()).fetch(request("once", body=body)))[::2] == (200, body)
+            assert (await host.received.get()).body == body
+    run_scenario(scene)
 
 
 def test_pipelined_responses_keep_the_order_of_the_requests() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=Sends)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host, module_factory=Sends)
             client = await stage.client()
             client.send(b"".join(request(rid=f"r{n}") for n in range(3)))
-            seen = [await host.seen.get() for _ in range(3)]
+            seen = [await host.received.get() for _ in range(3)]
             for pending in reversed(seen):
                 text = pending.headers["x-request-id"].encode()
-                pending.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + text)
-            assert [(await client.answer())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
-    play(scene)
+                pending.respond(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + text)
+            assert [(await client.read_response())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
+    run_scenario(scene)
 
 
 def test_each_of_many_pipelined_requests_gets_a_response() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
+        async with GatewayHarness() as stage:
+            await stage.start(FakeHost())
             client = await stage.client()
             client.send(b"".join(request(rid=f"r{n}") for n in range(200)))
             for _ in range(200):
-                assert (await client.answer())[0] in (200, 503)
-    play(scene)
+                assert (await client.read_response())[0] in (200, 503)
+    run_scenario(scene)
 
 
 def test_half_closed_client_gets_its_response() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             client.send(request("once"))
             client.writer.write_eof()
-            (await host.seen.get()).reply()
-            assert (await client.answer())[::2] == (200, b"done")
+            (await host.received.get()).respond()
+            assert (await client.read_response())[::2] == (200, b"done")
             assert await client.reader.read() == b""
-    play(scene)
+    run_scenario(scene)
 
 
 def test_no_retry_is_sent_for_a_half_closed_client() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             client.send(request())
-            seen = await host.seen.get()
+            seen = await host.received.get()
             client.writer.write_eof()
-            await until(lambda: all(item.client_half_closed for item in stage.gateway.core.open_requests()))
-            seen.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
-            assert (await client.answer())[0] == 502
-            assert host.seen.empty()
-    play(scene)
+            await wait_until(lambda: all(item.client_half_closed for item in stage.gateway.core.open_requests()))
+            seen.respond(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
+            assert (await client.read_response())[0] == 502
+            assert host.received.empty()
+    run_scenario(scene)
 
 
 def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             client = await stage.client()
             client.send(request())
-            seen = await host.seen.get()
+            seen = await host.received.get()
             sock = client.writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.writer.transport.abort()
-            await seen.closed()
+            await seen.wait_closed()
             assert not stage.gateway.core.open_requests()
-    play(scene)
+    run_scenario(scene)
 
 
 def test_request_id_of_an_open_request_is_rejected() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host)
             first, second = await stage.client(), await stage.client()
             first.send(request())
-            seen = await host.seen.get()
-            assert (await second.ask(request()))[0] == 400
-            seen.reply()
-            assert (await first.answer())[0] == 200
-            await rested()
+            seen = await host.received.get()
+            assert (await second.fetch(request()))[0] == 400
+            seen.respond()
+            assert (await first.read_response())[0] == 200
+            await wait_until_reusable()
             second.send(request())
             assert (await seen.reader.readline()).startswith(b"GET ")   # the id is free again
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(("module", "status", "advice"), [
@@ -281,64 +281,64 @@
 def test_exactly_one_response_whatever_the_module_does(module: type[StubModule], status: int,
                                                      advice: str | None) -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost(), make=module)
+        async with GatewayHarness() as stage:
+            await stage.start(FakeHost(), module_factory=module)
             client, sent_at = await stage.client(), now_ns()
-            got, headers, _ = await client.ask(request(X_Timeout_Ms="1000"))
+            got, headers, _ = await client.fetch(request(X_Timeout_Ms="1000"))
             assert (got, headers.get("retry-after")) == (status, advice)
             assert now_ns() - sent_at < 1000 * MS + PAUSE_MARGIN_NS
-            assert (await client.ask(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # no extra response
+            assert (await client.fetch(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # no extra response
             assert not stage.gateway.core.open_requests()
-    play(scene)
+    run_scenario(scene)
 
 
 def test_other_attempt_is_cancelled_when_one_succeeds() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=SendsTwoAttempts)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host, module_factory=SendsTwoAttempts)
             client = await stage.client()
             client.send(request())
-            first, second = await host.seen.get(), await host.seen.get()
-            second.reply()
-            assert (await client.answer())[0] == 200
-            await first.closed()
+            first, second = await host.received.get(), await host.received.get()
+            second.respond()
+            assert (await client.read_response())[0] == 200
+            await first.wait_closed()
             assert not stage.gateway.core.open_requests()
-    play(scene)
+    run_scenario(scene)
 
 
 def test_nothing_is_sent_after_the_response_and_events_do_not_nest() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
             modules: list[SendsAfterResponse] = []
 
             def make(settings: Settings, salt: int, actions: Actions) -> Any:
                 modules.append(SendsAfterResponse(settings, salt, actions))
                 return modules[0]
-            await stage.begin(host, make=make)
+            await stage.start(host, module_factory=make)
             client = await stage.client()
-            assert (await client.ask(request()))[0] == 502
-            assert (await client.ask(request(rid="r2")))[0] == 502
-            assert host.seen.empty()
+            assert (await client.fetch(request()))[0] == 502
+            assert (await client.fetch(request(rid="r2")))[0] == 502
+            assert host.received.empty()
             assert modules[0].max_depth == 1
             assert modules[0].outcomes[:2] == [(0, "nowhere", "CONNECT_FAILED"), (1, "h0", "MOOT")]
-    play(scene)
+    run_scenario(scene)
 
 
 def test_slow_request_gets_408_and_idle_connection_is_closed() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
+        async with GatewayHarness() as stage:
+            await stage.start(FakeHost())
             slow, idle = await stage.client(), await stage.client()
-            assert (await idle.ask(request()))[0] == 200
+            assert (await idle.fetch(request()))[0] == 200
             slow.send(b"GET /read/x HTTP/1.1\r\nX-Request-ID")
-            await until(lambda: stage.gateway.server.connection_count == 2 and stage.gateway.server.receiving == 1)
+            await wait_until(lambda: stage.gateway.server.connection_count == 2 and stage.gateway.server.receiving == 1)
             stage.gateway.server.sweep(now_ns() + 2500 * MS)
-            assert (await slow.answer())[0] == 408
+            assert (await slow.read_response())[0] == 408
             stage.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
             assert await idle.reader.read() == b""
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("begun", [b"", b"\r\n", b"GET /read/x HTTP/1.1\r\nX-Request-ID",
@@ -349,18 +349,18 @@
     With a longer limit, silent connections stay open for 90 s and slow ones for 10 s.
     """
     async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
+        async with GatewayHarness() as stage:
+            await stage.start(FakeHost())
             peer = await stage.client()
-            await until(lambda: stage.gateway.server.connection_count == 1)
+            await wait_until(lambda: stage.gateway.server.connection_count == 1)
             connected = now_ns()
             peer.send(begun)
             if len(begun) > 2:
-                await until(lambda: stage.gateway.server.receiving == 1)
+                await wait_until(lambda: stage.gateway.server.receiving == 1)
             (conn,) = stage.gateway.server._connections
-            await until(lambda: peer.writer.transport.get_write_buffer_size() == 0
-                        and conn.transport is not None
-                        and not pending_events(conn.transport))   # all bytes have arrived and are read
+            await wait_until(lambda: peer.writer.transport.get_write_buffer_size() == 0
+                             and conn.transport is not None
+                             and not pending_events(conn.transport))   # all bytes have arrived and are read
             stage.gateway.server.sweep(connected + 2500 * MS)   # the gateway sweeps twice a second
             assert conn.transport is not None
             assert conn.discarding or conn.transport.is_closing()     # in this sweep, not in a later one
@@ -369,81 +369,81 @@
             except ConnectionResetError:   # closed while received bytes were unread
                 received = b""
             assert received.startswith(b"HTTP/1.1 408" if len(begun) > 2 else b"")
-    play(scene)
+    run_scenario(scene)
 
 
 def test_connection_over_the_limit_gets_503() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=Sends)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host, module_factory=Sends)
             stage.gateway.server.max_connections = 2
             busy = [await stage.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(request(rid=f"b{number}"))
-            seen = [await host.seen.get() for _ in busy]
-            status, headers, _ = await (await stage.client()).ask(request(rid="late"))
+            seen = [await host.received.get() for _ in busy]
+            status, headers, _ = await (await stage.client()).fetch(request(rid="late"))
             assert (status, headers["connection"]) == (503, "close")
             for client, item in zip(busy, seen, strict=True):
-                item.reply()
-                assert (await client.answer())[0] == 200
-            assert (await (await stage.client()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
-    play(scene)
+                item.respond()
+                assert (await client.read_response())[0] == 200
+            assert (await (await stage.client()).fetch(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+    run_scenario(scene)
 
 
 def test_upgrade_request_is_handled_as_plain_http() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost(reply=OK))
+        async with GatewayHarness() as stage:
+            await stage.start(FakeHost(response=OK))
             client = await stage.client()
-            assert (await client.ask(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
+            assert (await client.fetch(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
             assert await client.reader.read() == b""
-    play(scene)
+    run_scenario(scene)
 
 
 def test_expect_100_continue_gets_an_interim_response() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
+        async with GatewayHarness() as stage:
+            await stage.start(FakeHost())
             client = await stage.client()
             message = request("once", body=b"some body", Expect="100-continue")
             client.send(message[:-9])
             assert (await asyncio.wait_for(client.reader.readline(), 5)).startswith(b"HTTP/1.1 100")
             await client.reader.readline()
-            assert (await client.ask(message[-9:]))[0] == 200
-    play(scene)
+            assert (await client.fetch(message[-9:]))[0] == 200
+    run_scenario(scene)
 
 
 def test_pipelined_requests_are_answered_during_a_graceful_stop() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=Sends)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=None)
+            await stage.start(host, module_factory=Sends)
             client = await stage.client()
             client.send(request(rid="r0") + request(rid="r1"))
-            seen = [await host.seen.get() for _ in range(2)]
+            seen = [await host.received.get() for _ in range(2)]
             stage.gateway.stop()
             seen.sort(key=lambda item: item.headers["x-request-id"])
             for advice, item in zip((None, "close"), seen, strict=True):
-                item.reply()
-                status, headers, _ = await client.answer()
+                item.respond()
+                status, headers, _ = await client.read_response()
                 assert (status, headers.get("connection")) == (200, advice)
             assert await client.reader.read() == b""
-    play(scene)
+    run_scenario(scene)
 
 
 def test_trailers_are_not_forwarded_as_headers() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host)
+            await stage.start(host)
             data = request("once", drop="Content-Length", Transfer_Encoding="chunked")
             data += b"9\r\nsome body\r\n0\r\nX-Late: 1\r\nX-Request-ID: another\r\n\r\n"
-            assert (await (await stage.client()).ask(data))[0] == 200
-            seen = await host.seen.get()
+            assert (await (await stage.client()).fetch(data))[0] == 200
+            seen = await host.received.get()
             assert (seen.headers["x-request-id"], seen.headers.get("x-late"), seen.body) == (
                 "r1", None, b"some body")
-    play(scene)
+    run_scenario(scene)
 
 
 class Probes(StubModule):
@@ -464,29 +464,29 @@
 
 def test_probes_and_peer_messages_work_where_the_settings_allow_them() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"inflight":7}')
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"inflight":7}')
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
                 free.bind(("127.0.0.1", 0))
                 own_address = f"127.0.0.1:{free.getsockname()[1]}"
             settings = {**SETTINGS, "caps": {**SETTINGS["caps"], "probes": True, "peers": True},
                         "load-report": {"source": "on_probe", "columns": ["outstanding"]}}
             told = {"peer_listen": own_address, "peers": [own_address], "settings": settings}
-            await stage.begin(host, make=Probes, told=told)
-            assert (await (await stage.client()).ask(request()))[0] == 200
-            assert (await host.seen.get()).first == "GET /stats HTTP/1.1"
-            assert (await host.seen.get()).first == "GET /read/x?q=1 HTTP/1.1"
-    play(scene)
+            await stage.start(host, module_factory=Probes, config=told)
+            assert (await (await stage.client()).fetch(request()))[0] == 200
+            assert (await host.received.get()).request_line == "GET /stats HTTP/1.1"
+            assert (await host.received.get()).request_line == "GET /read/x?q=1 HTTP/1.1"
+    run_scenario(scene)
 
 
 def test_no_probe_is_sent_where_the_settings_forbid_probes() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host, make=Probes)
-            assert (await (await stage.client()).ask(request(X_Timeout_Ms="200")))[0] == 502
+            await stage.start(host, module_factory=Probes)
+            assert (await (await stage.client()).fetch(request(X_Timeout_Ms="200")))[0] == 502
             assert host.connections == 0
-    play(scene)
+    run_scenario(scene)
 
 
 def test_closed_connections_leave_no_reference_cycles() -> None:
@@ -495,13 +495,14 @@
     With such a cycle, closed connections stay in memory until a full garbage collection.
     """
     async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-            await stage.begin(host)
+        async with GatewayHarness() as stage:
+            host = FakeHost(response=OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+            await stage.start(host)
             client = await stage.client()
-            assert (await client.ask(request()))[0] == 200
+            assert (await client.fetch(request()))[0] == 200
             client.writer.close()
-            await until(lambda: not stage.gateway.server.connection_count and not stage.gateway.upstream._connections)
+            await wait_until(lambda: not stage.gateway.server.connection_count
+                             and not stage.gateway.upstream._connections)
             stage.gateway.timers._heap.clear()   # timers refer to the connection until they fire
             for _ in range(3):
                 await asyncio.sleep(0)
@@ -512,6 +513,6 @@
     gc.collect()
     gc.disable()
     try:
-        play(scene)
+        run_scenario(scene)
     finally:
         gc.enable()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -23,7 +23,7 @@
 from gateway.server import MAX_PIPELINED
 from gateway.timers import now_ns
 from gateway.upstream import SEND_CHECK_VALID_NS
-from tests.sockets import FakeHost, Stage, play, request
+from tests.sockets import FakeHost, GatewayHarness, request, run_scenario
 
 STALL_S = 0.2
 SLOW_READ_S = (SEND_CHECK_VALID_NS + MS) / SECOND
@@ -261,15 +261,15 @@
             rows: list[dict[str, Any]] = [
                 {"instanceId": f"h{number}", "hostPort": host.address, "zone": "a", "machineType": "m", "cell": 0,
                  "lifecycle": "in_service", "weight": 1.0, "startedAtMs": 0} for number, host in enumerate(hosts)]
-            async with Stage() as stage:
-                await stage.begin(rows=rows)
-                client = Client(stage.where)
+            async with GatewayHarness() as stage:
+                await stage.start(instances=rows)
+                client = Client(stage.address)
                 await asyncio.to_thread(scenario.ask, client, clock_stall, stall_at, slow)
             assert [head for host in hosts for head in host.heads_without_id] == []
             excess_s.extend(
                 received.timeout_s - (client.sent_at[received.rid] + CLIENT_TIMEOUT_S - received.received_at)
                 for received in requests)
-    play(scene)
+    run_scenario(scene)
     return excess_s, requests[-1].clock_reads
 
 
@@ -288,20 +288,20 @@
 
 def test_forwarded_timeout_excludes_the_time_unread_behind_pipelined_requests() -> None:
     async def scene() -> None:
-        host = FakeHost(reply=None)
-        async with Stage() as stage:
-            await stage.begin(host)
+        host = FakeHost(response=None)
+        async with GatewayHarness() as stage:
+            await stage.start(host)
             client = await stage.client()
             for number in range(MAX_PIPELINED):
                 client.send(request(rid=f"r{number}"))
-            seen = await host.seen.get()
+            seen = await host.received.get()
             await asyncio.sleep(STALL_S)   # all are read, and reading from the connection is paused
             sent_at = time.monotonic()
             client.send(request(rid="last", X_Timeout_Ms="2000"))
             await asyncio.sleep(2 * STALL_S)
             while seen.headers["x-request-id"] != "last":
-                seen.reply(DONE_AND_CLOSE)
-                seen = await host.seen.get()
+                seen.respond(DONE_AND_CLOSE)
+                seen = await host.received.get()
             time_left_s = sent_at + CLIENT_TIMEOUT_S - time.monotonic()
             assert int(seen.headers["x-timeout-ms"]) / 1000 <= time_left_s + TOLERANCE_S
-    play(scene)
+    run_scenario(scene)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -16,13 +16,13 @@
 from gateway.timers import Timers, now_ns
 from gateway.update_parser import ListedHost
 from gateway.upstream import MAX_HEAD_BYTES, Upstream
-from tests.sockets import OK, FakeHost, Stage, play, request, rested
+from tests.sockets import OK, FakeHost, GatewayHarness, request, run_scenario, wait_until_reusable
 
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Request-ID: r1\r\n"
 NOT_PROCESSED = b"Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Bench:
+class UpstreamHarness:
     """An `Upstream` and the outcomes of its attempts."""
 
     def __init__(self) -> None:
@@ -30,16 +30,16 @@
         self.timers = Timers(loop)
         self.upstream = Upstream(loop, self.timers, 20, 250 * MS, 15 * SECOND, Stats(), StreamBudget(1 << 20))
 
-    def tell(self, address: str, state: HostState = HostState.READY, started_ns: int = 0) -> None:
+    def set_host(self, address: str, state: HostState = HostState.READY, started_ns: int = 0) -> None:
         host, _, port = address.rpartition(":")
         self.upstream.apply(False, [ListedHost(HostEntry("h0", 0, 0, 0, state, 1.0, started_ns),
                                            (host, int(port)))])
 
-    def start(self, within: int = 9 * SECOND,
+    def start(self, time_left_ns: int = 9 * SECOND,
               body: bytes = b"") -> tuple[Attempt, asyncio.Future[tuple[Outcome, Response | None]]]:
         result: asyncio.Future[tuple[Outcome, Response | None]] = asyncio.get_running_loop().create_future()
         now = now_ns()
-        attempt = Attempt("h0", 0, (HEAD + b"Content-Length: %d\r\n" % len(body), body), now, now + within,
+        attempt = Attempt("h0", 0, (HEAD + b"Content-Length: %d\r\n" % len(body), body), now, now + time_left_ns,
                           lambda _, outcome, response: result.set_result((outcome, response)))
         self.timers.at(attempt.expires_at, self.expire, attempt)
         self.upstream.start(attempt)
@@ -51,7 +51,7 @@
 
 
 @contextmanager
-def in_hand(bench: Bench, receive: int = 0) -> Iterator[socket.socket]:
+def manual_listener(bench: UpstreamHarness, receive: int = 0) -> Iterator[socket.socket]:
     """A host whose connections the test accepts itself; `receive` limits the kernel's receive buffer, bytes."""
     with socket.socket() as listener:
         if receive:
@@ -59,11 +59,11 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         listener.setblocking(False)
-        bench.tell(f"127.0.0.1:{listener.getsockname()[1]}")
+        bench.set_host(f"127.0.0.1:{listener.getsockname()[1]}")
         yield listener
 
 
-def silent_listener() -> tuple[socket.socket, list[socket.socket], str]:
+def full_listener() -> tuple[socket.socket, list[socket.socket], str]:
     """A listener whose accept queue is full: further connections to it are not established."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
@@ -77,8 +77,8 @@
     return listener, queued, f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-async def all_silent(listener: socket.socket, queued: list[socket.socket], wait_s: float = 0.3) -> None:
-    """Accept the connections that wait at a `silent_listener`: each must be closed without a byte sent."""
+async def assert_nothing_sent(listener: socket.socket, queued: list[socket.socket], wait_s: float = 0.3) -> None:
+    """Accept the connections that wait at a `full_listener`: each must be closed without a byte sent."""
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     for sock in queued:
@@ -94,15 +94,15 @@
 
 def test_host_connection_is_reused() -> None:
     async def scene() -> None:
-        async with Stage() as stage:
+        async with GatewayHarness() as stage:
             host = FakeHost()
-            await stage.begin(host)
+            await stage.start(host)
             client = await stage.client()
             for number in range(3):
-                assert (await client.ask(request(rid=f"r{number}")))[::2] == (200, b"done")
-                await rested()
+                assert (await client.fetch(request(rid=f"r{number}")))[::2] == (200, b"done")
+                await wait_until_reusable()
             assert host.connections == 1
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize(("reply", "closes", "outcome"), [
@@ -137,154 +137,154 @@
 ])
 def test_host_response_determines_the_outcome(reply: bytes, closes: bool, outcome: Outcome) -> None:
     async def scene() -> None:
-        bench, host = Bench(), await FakeHost(reply=None).start()
-        bench.tell(host.address)
+        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
+        bench.set_host(host.address)
         _, result = bench.start()
-        seen = await host.seen.get()
-        seen.reply(reply)
+        seen = await host.received.get()
+        seen.respond(reply)
         if closes:
             seen.writer.close()
         actual, response = await result
         assert actual is outcome
         assert (response.body if response else None) == (b"done" if outcome is Outcome.OK else None)
-    play(scene)
+    run_scenario(scene)
 
 
 def test_refused_connection_is_connect_failed() -> None:
     async def scene() -> None:
-        bench = Bench()
+        bench = UpstreamHarness()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))   # bound, but not listening
-            bench.tell(f"127.0.0.1:{free.getsockname()[1]}")
+            bench.set_host(f"127.0.0.1:{free.getsockname()[1]}")
             assert (await bench.start()[1])[0] is Outcome.CONNECT_FAILED
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("within", [9 * SECOND, 100 * MS])
 def test_nothing_is_sent_on_a_connection_established_too_late(within: int) -> None:
     async def scene() -> None:
-        bench = Bench()
-        listener, queued, address = silent_listener()
+        bench = UpstreamHarness()
+        listener, queued, address = full_listener()
         with listener:
-            bench.tell(address)
+            bench.set_host(address)
             _, result = bench.start(within)
             assert (await result)[0] is Outcome.CONNECT_FAILED
-            await all_silent(listener, queued)
-    play(scene)
+            await assert_nothing_sent(listener, queued)
+    run_scenario(scene)
 
 
 def test_nothing_is_sent_to_a_host_that_drains_during_connect() -> None:
     async def scene() -> None:
-        bench, host = Bench(), await FakeHost().start()
-        bench.tell(host.address)
+        bench, host = UpstreamHarness(), await FakeHost().start()
+        bench.set_host(host.address)
         _, result = bench.start()
-        bench.tell(host.address, HostState.DRAINING)
+        bench.set_host(host.address, HostState.DRAINING)
         assert (await result)[0] is Outcome.CONNECT_FAILED
-        assert host.seen.empty()
-    play(scene)
+        assert host.received.empty()
+    run_scenario(scene)
 
 
 def test_reset_before_the_last_byte_is_written_is_connect_failed() -> None:
     async def scene() -> None:
-        bench, loop = Bench(), asyncio.get_running_loop()
-        with in_hand(bench, 4096) as listener:
+        bench, loop = UpstreamHarness(), asyncio.get_running_loop()
+        with manual_listener(bench, 4096) as listener:
             _, result = bench.start(body=b"x" * 20_000_000)
             conn, _ = await loop.sock_accept(listener)
             await loop.sock_recv(conn, 100)
             conn.close()   # bytes are unread, so the kernel sends a reset
             assert (await result)[0] is Outcome.CONNECT_FAILED
-    play(scene)
+    run_scenario(scene)
 
 
 def test_timeout_before_the_last_byte_is_written_is_connect_failed() -> None:
     async def scene() -> None:
-        bench, loop = Bench(), asyncio.get_running_loop()
-        with in_hand(bench) as listener:
+        bench, loop = UpstreamHarness(), asyncio.get_running_loop()
+        with manual_listener(bench) as listener:
             _, result = bench.start(300 * MS, body=b"x" * 20_000_000)
             conn, _ = await loop.sock_accept(listener)
             with conn:
                 assert (await result)[0] is Outcome.CONNECT_FAILED
-    play(scene)
+    run_scenario(scene)
 
 
 def test_cancelled_or_timed_out_attempt_closes_its_connection() -> None:
     async def scene() -> None:
-        bench, host = Bench(), await FakeHost(reply=None).start()
-        bench.tell(host.address)
+        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
+        bench.set_host(host.address)
         attempt, result = bench.start()
-        seen = await host.seen.get()
+        seen = await host.received.get()
         bench.upstream.cancel(attempt)
         assert (await result)[0] is Outcome.CANCELLED
-        await seen.closed()
+        await seen.wait_closed()
         _, result = bench.start(900 * MS)
-        seen = await host.seen.get()
+        seen = await host.received.get()
         assert 1 <= int(seen.headers["x-timeout-ms"]) <= 900
         assert (await result)[0] is Outcome.TIMEOUT
-        await seen.closed()
-    play(scene)
+        await seen.wait_closed()
+    run_scenario(scene)
 
 
 def test_cancelled_connects_do_not_use_up_the_connection_limit() -> None:
     async def scene() -> None:
-        bench, host = Bench(), await FakeHost().start()
-        bench.tell(host.address)
+        bench, host = UpstreamHarness(), await FakeHost().start()
+        bench.set_host(host.address)
         for _ in range(40):   # more than the limit of 20 connections
             attempt, result = bench.start()
             bench.upstream.cancel(attempt)
             assert (await result)[0] is Outcome.CANCELLED
         assert (await bench.start()[1])[0] is Outcome.OK
-    play(scene)
+    run_scenario(scene)
 
 
 @pytest.mark.parametrize("change", ["restart", "move", "gone"])
 def test_connections_of_a_replaced_host_are_closed_and_not_reused(change: str) -> None:
     async def scene() -> None:
-        bench, host, other = Bench(), await FakeHost().start(), await FakeHost().start()
-        bench.tell(host.address)
+        bench, host, other = UpstreamHarness(), await FakeHost().start(), await FakeHost().start()
+        bench.set_host(host.address)
         assert (await bench.start()[1])[0] is Outcome.OK
-        seen = await host.seen.get()
+        seen = await host.received.get()
         if change == "gone":
-            bench.tell(host.address, HostState.GONE)
-        bench.tell(other.address if change == "move" else host.address,
-                   started_ns=5 if change == "restart" else 0)
-        await seen.closed()
+            bench.set_host(host.address, HostState.GONE)
+        bench.set_host(other.address if change == "move" else host.address,
+                       started_ns=5 if change == "restart" else 0)
+        await seen.wait_closed()
         assert (await bench.start()[1])[0] is Outcome.OK
         assert host.connections + other.connections == 2
-    play(scene)
+    run_scenario(scene)
 
 
 def test_most_recently_used_connection_is_reused_and_idle_ones_are_closed() -> None:
     async def scene() -> None:
-        bench, host = Bench(), await FakeHost(reply=None).start()
-        bench.tell(host.address)
+        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
+        bench.set_host(host.address)
         results = [bench.start()[1] for _ in range(2)]
-        seen = [await host.seen.get() for _ in range(2)]
+        seen = [await host.received.get() for _ in range(2)]
         for pending, result in zip(seen, results, strict=True):
-            pending.reply()
+            pending.respond()
             assert (await result)[0] is Outcome.OK
-        await rested()
+        await wait_until_reusable()
         bench.upstream.sweep(now_ns() + 8 * SECOND)
         third, result = bench.start()
         assert (await seen[1].reader.readline()).startswith(b"GET ")   # on the connection that became idle last
         bench.upstream.cancel(third)
         bench.upstream.sweep(now_ns() + 10 * SECOND)   # the host closes idle connections after 15 s
-        await seen[0].closed()
-    play(scene)
+        await seen[0].wait_closed()
+    run_scenario(scene)
 
 
 def test_unsolicited_bytes_close_an_idle_connection() -> None:
     async def scene() -> None:
-        bench, host = Bench(), await FakeHost(reply=None).start()
-        bench.tell(host.address)
+        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
+        bench.set_host(host.address)
         _, result = bench.start()
-        seen = await host.seen.get()
-        seen.reply(OK + OK)
+        seen = await host.received.get()
+        seen.respond(OK + OK)
         assert (await result)[0] is Outcome.OK
-        await seen.closed()
+        await seen.wait_closed()
         _, result = bench.start()
-        seen = await host.seen.get()
-        seen.reply()
+        seen = await host.received.get()
+        seen.respond()
         assert (await result)[0] is Outcome.OK
-        seen.reply(b"noise")
-        await seen.closed()
-    play(scene)
+        seen.respond(b"noise")
+        await seen.wait_closed()
+    run_scenario(scene)
