--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -39,10 +39,10 @@
 }
 
 
-def run_scenario(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run an async test on a uvloop event loop, as the gateway uses, with a time limit."""
     async def run_with_timeout() -> None:
-        await asyncio.wait_for(scene(), TEST_TIMEOUT_S)
+        await asyncio.wait_for(scenario(), TEST_TIMEOUT_S)
     uvloop.run(run_with_timeout())
 
 
@@ -101,11 +101,11 @@
         closed_event = asyncio.Event() if self.response is not None else None
         try:
             while True:
-                received = ReceivedRequest(*await read_message(reader), writer, reader, closed_event)
-                self.received.put_nowait(received)
+                received_request = ReceivedRequest(*await read_message(reader), writer, reader, closed_event)
+                self.received.put_nowait(received_request)
                 if self.response is None:
                     return   # the test uses the connection from here on
-                received.respond(self.response)
+                received_request.respond(self.response)
         except (asyncio.IncompleteReadError, OSError):
             writer.close()
             if closed_event is not None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -72,6 +72,7 @@
     (1, 12, 4, 20), (6, 12, 4, 20), (20, 12, 4, 12), (30, 40, 15, 12), (230, 200, 60, 4)])
 def test_all_processes_together_use_cold_hosts_without_overloading_them(
         processes: int, hosts: int, cold: int, lasts: int) -> None:
+    """Guards against an overload of cold hosts by processes each of which sends little."""
     capacity = SECOND / SERVICE_TIME_NS
     shares = [TRAFFIC_SHARES[number % len(TRAFFIC_SHARES)] for number in range(processes)]
     total_rate_per_s = LOAD * hosts * capacity
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -56,28 +56,28 @@
 
 
 def test_long_request_body_is_forwarded_completely() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host, config=OPERATOR)
-            client = await stage.client()
+            await harness.start(host, config=OPERATOR)
+            client = await harness.client()
             for number in range(2):   # twice: both connections can be reused
                 assert (await client.fetch(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
                 seen = await host.received.get()
                 assert (seen.body, seen.headers["content-length"]) == (LONG, str(len(LONG)))
                 await wait_until_reusable()
             assert host.connections == 1
-            metrics = await figures(stage)
+            metrics = await figures(harness)
             assert (metrics["upstream_requests"], metrics["downstream_requests.keyed.completed"]) == (2, 2)
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_long_chunked_request_body_is_forwarded_in_chunks() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked")
                         + chunks(LONG, extension=b";a=b") + b"0\r\nX-Request-ID: other\r\n\r\n")
             seen = await host.received.get()
@@ -85,15 +85,16 @@
             assert await read_chunks(seen.reader) == LONG
             seen.respond()
             assert (await client.read_response())[0] == 200
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_requests_that_arrive_byte_by_byte_are_parsed_correctly() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against parser state that is lost between two reads."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             data = (request("once", rid="r0", body=b"x" * 50)
                     + request("once", rid="r1", drop="Content-Length", Transfer_Encoding="chunked")
                     + chunks(b"y" * 50, 7, b";q=1") + b"0\r\nT: 1\r\n\r\n" + request(rid="r2"))
@@ -104,15 +105,16 @@
             for body in (b"x" * 50, b"y" * 50, b""):
                 assert (await client.read_response())[0] == 200
                 assert (await host.received.get()).body == body
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_100_continue_is_sent_after_the_responses_of_earlier_requests() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against an interim response that overtakes the response to an earlier pipelined request."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             long = request("once", rid="r1", body=LONG, Expect="100-continue")
             client.send(request(rid="r0") + long.removesuffix(LONG))
             (await host.received.get()).respond(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
@@ -123,32 +125,32 @@
             assert seen.body == LONG
             seen.respond()
             assert (await client.read_response())[0] == 200
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_white_space_around_header_values_is_ignored() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             data = request("keyed", body=b"1234")
             lines = data.replace(b"\r\n", b" \t\r\n").replace(b" \t\r\n \t\r\n", b" \t\r\n\r\n")
             lines = lines.replace(b" HTTP/1.1 \t", b" HTTP/1.1").replace(b": ", b":\t ")
             assert (await client.fetch(lines))[0] == 200
             seen = await host.received.get()
             assert (seen.body, seen.headers["idempotency-key"]) == (b"1234", "kr1")
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 def test_long_response_is_forwarded_completely_in_every_framing(framing: str, version: bytes) -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host, config=OPERATOR)
-            client = await stage.client()
+            await harness.start(host, config=OPERATOR)
+            client = await harness.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             seen = await host.received.get()
             if framing == "length":
@@ -167,8 +169,8 @@
             else:
                 assert b"connection: close" in response_head
                 assert await client.reader.read(-1) == LONG
-            assert (await figures(stage))["downstream_requests.read.completed"] == 1
-    run_scenario(scene)
+            assert (await figures(harness))["downstream_requests.read.completed"] == 1
+    run_scenario(scenario)
 
 
 def test_late_response_of_unknown_length_is_not_truncated_at_the_deadline(
@@ -179,28 +181,29 @@
     """
     monkeypatch.setattr(upstream, "UNKNOWN_LENGTH_BUFFER_NS", 10 * SECOND)
 
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             client.send(request(X_Timeout_Ms="900"))
             seen = await host.received.get()
             seen.respond(CHUNKED + chunks(b"first"))
             assert b" 200 " in await read_head(client)
             seen.respond(chunks(LONG) + b"0\r\n\r\n")
             assert await read_chunks(client.reader) == b"first" + LONG
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
 def test_client_can_detect_a_truncated_long_response(framing: str, version: bytes) -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against ending a truncated response in a way that looks complete to the client."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host, config=OPERATOR)
-            client = await stage.client()
+            await harness.start(host, config=OPERATOR)
+            client = await harness.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             seen = await host.received.get()
             if framing == "length":
@@ -215,37 +218,38 @@
                     assert version == b"1.1"
                 else:
                     await read_chunks(client.reader)
-            assert (await figures(stage))["downstream_requests.read.failed"] == 1
-    run_scenario(scene)
+            assert (await figures(harness))["downstream_requests.read.failed"] == 1
+    run_scenario(scenario)
 
 
 def test_client_that_does_not_read_slows_down_only_its_own_host() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against unbounded buffering for a slow client, and against blocking other clients meanwhile."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             slow = FakeHost(response=None)
-            await stage.start(slow)
-            client = await stage.client()
+            await harness.start(slow)
+            client = await harness.client()
             client.send(request())
             seen = await slow.received.get()
             long = LONG * 8
             seen.respond(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long) + long)
-            server = stage.gateway.server
+            server = harness.gateway.server
             conn = next(iter(server._connections))
             await wait_until(lambda: bool(conn._write_blocked_since))
             assert conn.transport is not None
             assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest stays at the host
-            assert (await (await stage.client()).fetch(HEALTH))[0] == 200
+            assert (await (await harness.client()).fetch(HEALTH))[0] == 200
             await read_head(client)
             assert await client.reader.readexactly(len(long)) == long
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_body_over_the_size_limit_gets_413_and_the_host_gets_no_complete_body() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked"))
 
             async def send() -> None:
@@ -257,55 +261,57 @@
             await seen.wait_closed()
             assert (await client.read_response())[0] == 413
             sending.cancel()
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_disconnect_during_a_request_body_closes_the_host_connection() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked") + chunks(LONG))
             seen = await host.received.get()
             client.writer.close()
             await seen.wait_closed()
-            await wait_until(lambda: not stage.gateway.core.open_requests())
-    run_scenario(scene)
+            await wait_until(lambda: not harness.gateway.core.open_requests())
+    run_scenario(scenario)
 
 
 def test_connection_stays_usable_after_503_during_a_request_body() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against taking the remainder of a rejected body for the next request."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host, module_factory=RefusesAfterFull)
-            client = await stage.client()
+            await harness.start(host, module_factory=RefusesAfterFull)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked") + chunks(LONG))
             (await host.received.get()).respond(FULL)
             assert (await client.read_response())[0] == 503
             client.send(chunks(LONG) + b"0\r\n\r\n" + request(rid="r2"))
             (await host.received.get()).respond()
             assert (await client.read_response())[0] == 200
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_request_body_without_progress_gets_408() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against a body timeout that also ends requests whose body makes progress."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            steady, stalled = await stage.client(), await stage.client()
+            await harness.start(host)
+            steady, stalled = await harness.client(), await harness.client()
             for client, rid in ((steady, "r1"), (stalled, "r2")):
                 client.send(request("once", rid=rid, Content_Length=str(len(LONG))))
             steady.send(LONG[:200_000])
-            server = stage.gateway.server
+            server = harness.gateway.server
             await wait_until(lambda: len(server._connections) == 2 and all(
                 conn._body_started_at for conn in server._connections)
                 and max(conn._received for conn in server._connections) == 200_000)
             server.sweep(now_ns() + HEAD_TIMEOUT_NS + SECOND)   # 3.4 s, while the timeout of the request is 6 s
             assert (await stalled.read_response())[0] == 408
             assert not steady.reader.at_eof()
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 class FakeSink:
@@ -351,18 +357,18 @@
 
 
 def test_long_body_over_the_memory_budget_gets_503_and_is_not_sent() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host)
-            stage.gateway.stream_budget.max_bytes = 1000
-            client = await stage.client()
+            await harness.start(host)
+            harness.gateway.stream_budget.max_bytes = 1000
+            client = await harness.client()
             status, headers, _ = await client.fetch(request("once", body=LONG[:2 * MAX_REPLAY_BYTES]))
             assert (status, headers["connection"]) == (503, "close")
-            assert (await (await stage.client()).fetch(
+            assert (await (await harness.client()).fetch(
                 request("once", rid="r2", body=LONG[:MAX_REPLAY_BYTES])))[0] == 200
             assert (await host.received.get()).headers["x-request-id"] == "r2"
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_head_timeout_is_between_two_and_three_seconds() -> None:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -29,6 +29,7 @@
 
 
 def test_actions_do_not_depend_on_hash_order() -> None:
+    """Guards against iteration in hash order, which differs between processes."""
     outputs = {
         subprocess.run([sys.executable, "-c", SCRIPT], cwd=ROOT, capture_output=True, check=True,
                        env={**os.environ, "PYTHONHASHSEED": seed}).stdout
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -96,11 +96,11 @@
 
 
 def test_request_is_forwarded_unchanged_except_for_hop_by_hop_headers() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host)
-            assert (await (await stage.client()).fetch(KEYED))[::2] == (200, b"done")
+            await harness.start(host)
+            assert (await (await harness.client()).fetch(KEYED))[::2] == (200, b"done")
             seen = await host.received.get()
             assert (seen.request_line, seen.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
             assert {name: seen.headers.get(name) for name in (
@@ -108,23 +108,23 @@
                 "x-request-id": "r1", "idempotency-key": "kr1", "content-type": "text/plain",
                 "x-hop": None, "connection": None}
             assert 0 < int(seen.headers["x-timeout-ms"]) < 6000
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_readiness_is_503_until_a_host_is_known() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = await FakeHost().start()
-            await stage.start(instances=[])
-            client = await stage.client()
+            await harness.start(instances=[])
+            client = await harness.client()
             check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
             assert (await client.fetch(check))[0] == 503
-            _, writer = await stage.discovery.calls.get()
-            stage.discovery.send_head(writer)
-            stage.discovery.send_update(writer, 42, [host.instance()])
-            await wait_until(lambda: stage.gateway.core.has_hosts)
+            _, writer = await harness.discovery.calls.get()
+            harness.discovery.send_head(writer)
+            harness.discovery.send_update(writer, 42, [host.instance()])
+            await wait_until(lambda: harness.gateway.core.has_hosts)
             assert (await client.fetch(check))[0] == 200
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("status", "data"), [
@@ -163,106 +163,108 @@
     (431, b"GET /" + b"x" * 70000),
 ])
 def test_invalid_request_gets_an_error_and_is_not_forwarded(status: int, data: bytes) -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host)
-            assert (await (await stage.client()).fetch(data))[0] == status
-            assert (await (await stage.client()).fetch(request(rid="good")))[0] == 200
+            await harness.start(host)
+            assert (await (await harness.client()).fetch(data))[0] == status
+            assert (await (await harness.client()).fetch(request(rid="good")))[0] == 200
             assert (await host.received.get()).headers["x-request-id"] == "good"
             assert host.received.empty()
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_body_of_the_replay_buffer_size_is_forwarded_both_ways() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             body = bytes(range(256)) * 256
             host = FakeHost(response=b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + body)
-            await stage.start(host)
-            assert (await (await stage.client()).fetch(request("once", body=body)))[::2] == (200, body)
+            await harness.start(host)
+            assert (await (await harness.client()).fetch(request("once", body=body)))[::2] == (200, body)
             assert (await host.received.get()).body == body
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_pipelined_responses_keep_the_order_of_the_requests() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host, module_factory=Sends)
-            client = await stage.client()
+            await harness.start(host, module_factory=Sends)
+            client = await harness.client()
             client.send(b"".join(request(rid=f"r{n}") for n in range(3)))
             seen = [await host.received.get() for _ in range(3)]
             for pending in reversed(seen):
                 text = pending.headers["x-request-id"].encode()
                 pending.respond(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + text)
             assert [(await client.read_response())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_each_of_many_pipelined_requests_gets_a_response() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
-            await stage.start(FakeHost())
-            client = await stage.client()
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            client = await harness.client()
             client.send(b"".join(request(rid=f"r{n}") for n in range(200)))
             for _ in range(200):
                 assert (await client.read_response())[0] in (200, 503)
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_half_closed_client_gets_its_response() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once"))
             client.writer.write_eof()
             (await host.received.get()).respond()
             assert (await client.read_response())[::2] == (200, b"done")
             assert await client.reader.read() == b""
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_no_retry_is_sent_for_a_half_closed_client() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against further attempts for a client that has shut down its sending side: it may have left."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             client.send(request())
             seen = await host.received.get()
             client.writer.write_eof()
-            await wait_until(lambda: all(item.client_half_closed for item in stage.gateway.core.open_requests()))
+            await wait_until(lambda: all(item.client_half_closed for item in harness.gateway.core.open_requests()))
             seen.respond(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
             assert (await client.read_response())[0] == 502
             assert host.received.empty()
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             client.send(request())
             seen = await host.received.get()
             sock = client.writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.writer.transport.abort()
             await seen.wait_closed()
-            assert not stage.gateway.core.open_requests()
-    run_scenario(scene)
+            assert not harness.gateway.core.open_requests()
+    run_scenario(scenario)
 
 
 def test_request_id_of_an_open_request_is_rejected() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against two open requests with the same id, which the decision module does not accept."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host)
-            first, second = await stage.client(), await stage.client()
+            await harness.start(host)
+            first, second = await harness.client(), await harness.client()
             first.send(request())
             seen = await host.received.get()
             assert (await second.fetch(request()))[0] == 400
@@ -271,7 +273,7 @@
             await wait_until_reusable()
             second.send(request())
             assert (await seen.reader.readline()).startswith(b"GET ")   # the id is free again
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("module", "status", "advice"), [
@@ -280,65 +282,67 @@
 ])
 def test_exactly_one_response_whatever_the_module_does(module: type[StubModule], status: int,
                                                      advice: str | None) -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
-            await stage.start(FakeHost(), module_factory=module)
-            client, sent_at = await stage.client(), now_ns()
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost(), module_factory=module)
+            client, sent_at = await harness.client(), now_ns()
             got, headers, _ = await client.fetch(request(X_Timeout_Ms="1000"))
             assert (got, headers.get("retry-after")) == (status, advice)
             assert now_ns() - sent_at < 1000 * MS + PAUSE_MARGIN_NS
             assert (await client.fetch(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # no extra response
-            assert not stage.gateway.core.open_requests()
-    run_scenario(scene)
+            assert not harness.gateway.core.open_requests()
+    run_scenario(scenario)
 
 
 def test_other_attempt_is_cancelled_when_one_succeeds() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host, module_factory=SendsTwoAttempts)
-            client = await stage.client()
+            await harness.start(host, module_factory=SendsTwoAttempts)
+            client = await harness.client()
             client.send(request())
             first, second = await host.received.get(), await host.received.get()
             second.respond()
             assert (await client.read_response())[0] == 200
             await first.wait_closed()
-            assert not stage.gateway.core.open_requests()
-    run_scenario(scene)
+            assert not harness.gateway.core.open_requests()
+    run_scenario(scenario)
 
 
 def test_nothing_is_sent_after_the_response_and_events_do_not_nest() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against attempts after the end of a request, and against events delivered inside another event."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
             modules: list[SendsAfterResponse] = []
 
             def make(settings: Settings, salt: int, actions: Actions) -> Any:
                 modules.append(SendsAfterResponse(settings, salt, actions))
                 return modules[0]
-            await stage.start(host, module_factory=make)
-            client = await stage.client()
+            await harness.start(host, module_factory=make)
+            client = await harness.client()
             assert (await client.fetch(request()))[0] == 502
             assert (await client.fetch(request(rid="r2")))[0] == 502
             assert host.received.empty()
             assert modules[0].max_depth == 1
             assert modules[0].outcomes[:2] == [(0, "nowhere", "CONNECT_FAILED"), (1, "h0", "MOOT")]
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_slow_request_gets_408_and_idle_connection_is_closed() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
-            await stage.start(FakeHost())
-            slow, idle = await stage.client(), await stage.client()
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            slow, idle = await harness.client(), await harness.client()
             assert (await idle.fetch(request()))[0] == 200
             slow.send(b"GET /read/x HTTP/1.1\r\nX-Request-ID")
-            await wait_until(lambda: stage.gateway.server.connection_count == 2 and stage.gateway.server.receiving == 1)
-            stage.gateway.server.sweep(now_ns() + 2500 * MS)
+            await wait_until(lambda: harness.gateway.server.connection_count == 2
+                             and harness.gateway.server.receiving == 1)
+            harness.gateway.server.sweep(now_ns() + 2500 * MS)
             assert (await slow.read_response())[0] == 408
-            stage.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
+            harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
             assert await idle.reader.read() == b""
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("begun", [b"", b"\r\n", b"GET /read/x HTTP/1.1\r\nX-Request-ID",
@@ -348,20 +352,20 @@
 
     With a longer limit, silent connections stay open for 90 s and slow ones for 10 s.
     """
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
-            await stage.start(FakeHost())
-            peer = await stage.client()
-            await wait_until(lambda: stage.gateway.server.connection_count == 1)
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            peer = await harness.client()
+            await wait_until(lambda: harness.gateway.server.connection_count == 1)
             connected = now_ns()
             peer.send(begun)
             if len(begun) > 2:
-                await wait_until(lambda: stage.gateway.server.receiving == 1)
-            (conn,) = stage.gateway.server._connections
+                await wait_until(lambda: harness.gateway.server.receiving == 1)
+            (conn,) = harness.gateway.server._connections
             await wait_until(lambda: peer.writer.transport.get_write_buffer_size() == 0
                              and conn.transport is not None
                              and not pending_events(conn.transport))   # all bytes have arrived and are read
-            stage.gateway.server.sweep(connected + 2500 * MS)   # the gateway sweeps twice a second
+            harness.gateway.server.sweep(connected + 2500 * MS)   # the gateway sweeps twice a second
             assert conn.transport is not None
             assert conn.discarding or conn.transport.is_closing()     # in this sweep, not in a later one
             try:
@@ -369,81 +373,82 @@
             except ConnectionResetError:   # closed while received bytes were unread
                 received = b""
             assert received.startswith(b"HTTP/1.1 408" if len(begun) > 2 else b"")
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_connection_over_the_limit_gets_503() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host, module_factory=Sends)
-            stage.gateway.server.max_connections = 2
-            busy = [await stage.client() for _ in range(2)]
+            await harness.start(host, module_factory=Sends)
+            harness.gateway.server.max_connections = 2
+            busy = [await harness.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(request(rid=f"b{number}"))
             seen = [await host.received.get() for _ in busy]
-            status, headers, _ = await (await stage.client()).fetch(request(rid="late"))
+            status, headers, _ = await (await harness.client()).fetch(request(rid="late"))
             assert (status, headers["connection"]) == (503, "close")
             for client, item in zip(busy, seen, strict=True):
                 item.respond()
                 assert (await client.read_response())[0] == 200
-            assert (await (await stage.client()).fetch(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
-    run_scenario(scene)
+            assert (await (await harness.client()).fetch(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+    run_scenario(scenario)
 
 
 def test_upgrade_request_is_handled_as_plain_http() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
-            await stage.start(FakeHost(response=OK))
-            client = await stage.client()
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost(response=OK))
+            client = await harness.client()
             assert (await client.fetch(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
             assert await client.reader.read() == b""
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_expect_100_continue_gets_an_interim_response() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
-            await stage.start(FakeHost())
-            client = await stage.client()
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            client = await harness.client()
             message = request("once", body=b"some body", Expect="100-continue")
             client.send(message[:-9])
             assert (await asyncio.wait_for(client.reader.readline(), 5)).startswith(b"HTTP/1.1 100")
             await client.reader.readline()
             assert (await client.fetch(message[-9:]))[0] == 200
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_pipelined_requests_are_answered_during_a_graceful_stop() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await stage.start(host, module_factory=Sends)
-            client = await stage.client()
+            await harness.start(host, module_factory=Sends)
+            client = await harness.client()
             client.send(request(rid="r0") + request(rid="r1"))
             seen = [await host.received.get() for _ in range(2)]
-            stage.gateway.stop()
+            harness.gateway.stop()
             seen.sort(key=lambda item: item.headers["x-request-id"])
             for advice, item in zip((None, "close"), seen, strict=True):
                 item.respond()
                 status, headers, _ = await client.read_response()
                 assert (status, headers.get("connection")) == (200, advice)
             assert await client.reader.read() == b""
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_trailers_are_not_forwarded_as_headers() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    """Guards against a trailer that replaces a header, such as X-Request-ID, after the headers were checked."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host)
+            await harness.start(host)
             data = request("once", drop="Content-Length", Transfer_Encoding="chunked")
             data += b"9\r\nsome body\r\n0\r\nX-Late: 1\r\nX-Request-ID: another\r\n\r\n"
-            assert (await (await stage.client()).fetch(data))[0] == 200
+            assert (await (await harness.client()).fetch(data))[0] == 200
             seen = await host.received.get()
             assert (seen.headers["x-request-id"], seen.headers.get("x-late"), seen.body) == (
                 "r1", None, b"some body")
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 class Probes(StubModule):
@@ -463,30 +468,30 @@
 
 
 def test_probes_and_peer_messages_work_where_the_settings_allow_them() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"inflight":7}')
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
                 free.bind(("127.0.0.1", 0))
                 own_address = f"127.0.0.1:{free.getsockname()[1]}"
             settings = {**SETTINGS, "caps": {**SETTINGS["caps"], "probes": True, "peers": True},
                         "load-report": {"source": "on_probe", "columns": ["outstanding"]}}
-            told = {"peer_listen": own_address, "peers": [own_address], "settings": settings}
-            await stage.start(host, module_factory=Probes, config=told)
-            assert (await (await stage.client()).fetch(request()))[0] == 200
+            config = {"peer_listen": own_address, "peers": [own_address], "settings": settings}
+            await harness.start(host, module_factory=Probes, config=config)
+            assert (await (await harness.client()).fetch(request()))[0] == 200
             assert (await host.received.get()).request_line == "GET /stats HTTP/1.1"
             assert (await host.received.get()).request_line == "GET /read/x?q=1 HTTP/1.1"
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_no_probe_is_sent_where_the_settings_forbid_probes() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host, module_factory=Probes)
-            assert (await (await stage.client()).fetch(request(X_Timeout_Ms="200")))[0] == 502
+            await harness.start(host, module_factory=Probes)
+            assert (await (await harness.client()).fetch(request(X_Timeout_Ms="200")))[0] == 502
             assert host.connections == 0
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_closed_connections_leave_no_reference_cycles() -> None:
@@ -494,25 +499,25 @@
 
     With such a cycle, closed connections stay in memory until a full garbage collection.
     """
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost(response=OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             assert (await client.fetch(request()))[0] == 200
             client.writer.close()
-            await wait_until(lambda: not stage.gateway.server.connection_count
-                             and not stage.gateway.upstream._connections)
-            stage.gateway.timers._heap.clear()   # timers refer to the connection until they fire
+            await wait_until(lambda: not harness.gateway.server.connection_count
+                             and not harness.gateway.upstream._connections)
+            harness.gateway.timers._heap.clear()   # timers refer to the connection until they fire
             for _ in range(3):
                 await asyncio.sleep(0)
-            gateway = stage.gateway   # objects that other tests left behind are not counted
+            gateway = harness.gateway   # objects that other tests left behind are not counted
             assert not [item for item in gc.get_objects()
                         if (isinstance(item, ClientConnection) and item.server is gateway.server)
                         or (isinstance(item, Connection) and item._pool is gateway.upstream)]
     gc.collect()
     gc.disable()
     try:
-        run_scenario(scene)
+        run_scenario(scenario)
     finally:
         gc.enable()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -156,8 +156,8 @@
 class Client:
     """One connection of a client whose timeout is `CLIENT_TIMEOUT_S`."""
 
-    def __init__(self, where: tuple[str, int]) -> None:
-        self._address = where
+    def __init__(self, address: tuple[str, int]) -> None:
+        self._address = address
         self._sock: socket.socket | None = None
         self.sent_at: dict[str, float] = {}
 
@@ -255,21 +255,21 @@
             clock_stall.arm(stall_at, slow)   # the retry is the attempt under test
         return response
 
-    async def scene() -> None:
+    async def send_requests() -> None:
         with ExitStack() as exit_stack:
             hosts = [exit_stack.enter_context(Host(respond, clock_stall, requests)) for _ in range(2)]
             rows: list[dict[str, Any]] = [
                 {"instanceId": f"h{number}", "hostPort": host.address, "zone": "a", "machineType": "m", "cell": 0,
                  "lifecycle": "in_service", "weight": 1.0, "startedAtMs": 0} for number, host in enumerate(hosts)]
-            async with GatewayHarness() as stage:
-                await stage.start(instances=rows)
-                client = Client(stage.address)
+            async with GatewayHarness() as harness:
+                await harness.start(instances=rows)
+                client = Client(harness.address)
                 await asyncio.to_thread(scenario.ask, client, clock_stall, stall_at, slow)
             assert [head for host in hosts for head in host.heads_without_id] == []
             excess_s.extend(
                 received.timeout_s - (client.sent_at[received.rid] + CLIENT_TIMEOUT_S - received.received_at)
                 for received in requests)
-    run_scenario(scene)
+    run_scenario(send_requests)
     return excess_s, requests[-1].clock_reads
 
 
@@ -287,11 +287,15 @@
 
 
 def test_forwarded_timeout_excludes_the_time_unread_behind_pipelined_requests() -> None:
-    async def scene() -> None:
+    """Guards against counting a request's time only from when it is read.
+
+    While earlier requests of the connection are open, it waits unread in the kernel's buffer.
+    """
+    async def scenario() -> None:
         host = FakeHost(response=None)
-        async with GatewayHarness() as stage:
-            await stage.start(host)
-            client = await stage.client()
+        async with GatewayHarness() as harness:
+            await harness.start(host)
+            client = await harness.client()
             for number in range(MAX_PIPELINED):
                 client.send(request(rid=f"r{number}"))
             seen = await host.received.get()
@@ -304,4 +308,4 @@
                 seen = await host.received.get()
             time_left_s = sent_at + CLIENT_TIMEOUT_S - time.monotonic()
             assert int(seen.headers["x-timeout-ms"]) / 1000 <= time_left_s + TOLERANCE_S
-    run_scenario(scene)
+    run_scenario(scenario)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -51,7 +51,7 @@
 
 
 @contextmanager
-def manual_listener(bench: UpstreamHarness, receive: int = 0) -> Iterator[socket.socket]:
+def manual_listener(harness: UpstreamHarness, receive: int = 0) -> Iterator[socket.socket]:
     """A host whose connections the test accepts itself; `receive` limits the kernel's receive buffer, bytes."""
     with socket.socket() as listener:
         if receive:
@@ -59,7 +59,7 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         listener.setblocking(False)
-        bench.set_host(f"127.0.0.1:{listener.getsockname()[1]}")
+        harness.set_host(f"127.0.0.1:{listener.getsockname()[1]}")
         yield listener
 
 
@@ -93,16 +93,16 @@
 
 
 def test_host_connection_is_reused() -> None:
-    async def scene() -> None:
-        async with GatewayHarness() as stage:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.start(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             for number in range(3):
                 assert (await client.fetch(request(rid=f"r{number}")))[::2] == (200, b"done")
                 await wait_until_reusable()
             assert host.connections == 1
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("reply", "closes", "outcome"), [
@@ -136,10 +136,10 @@
     (b"noise\r\n\r\n", False, Outcome.RESET),
 ])
 def test_host_response_determines_the_outcome(reply: bytes, closes: bool, outcome: Outcome) -> None:
-    async def scene() -> None:
-        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
-        bench.set_host(host.address)
-        _, result = bench.start()
+    async def scenario() -> None:
+        harness, host = UpstreamHarness(), await FakeHost(response=None).start()
+        harness.set_host(host.address)
+        _, result = harness.start()
         seen = await host.received.get()
         seen.respond(reply)
         if closes:
@@ -147,144 +147,150 @@
         actual, response = await result
         assert actual is outcome
         assert (response.body if response else None) == (b"done" if outcome is Outcome.OK else None)
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_refused_connection_is_connect_failed() -> None:
-    async def scene() -> None:
-        bench = UpstreamHarness()
+    async def scenario() -> None:
+        harness = UpstreamHarness()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))   # bound, but not listening
-            bench.set_host(f"127.0.0.1:{free.getsockname()[1]}")
-            assert (await bench.start()[1])[0] is Outcome.CONNECT_FAILED
-    run_scenario(scene)
+            harness.set_host(f"127.0.0.1:{free.getsockname()[1]}")
+            assert (await harness.start()[1])[0] is Outcome.CONNECT_FAILED
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("within", [9 * SECOND, 100 * MS])
 def test_nothing_is_sent_on_a_connection_established_too_late(within: int) -> None:
-    async def scene() -> None:
-        bench = UpstreamHarness()
+    """Guards against sending a request after its connect timeout or its deadline: it may have been retried already."""
+    async def scenario() -> None:
+        harness = UpstreamHarness()
         listener, queued, address = full_listener()
         with listener:
-            bench.set_host(address)
-            _, result = bench.start(within)
+            harness.set_host(address)
+            _, result = harness.start(within)
             assert (await result)[0] is Outcome.CONNECT_FAILED
             await assert_nothing_sent(listener, queued)
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_nothing_is_sent_to_a_host_that_drains_during_connect() -> None:
-    async def scene() -> None:
-        bench, host = UpstreamHarness(), await FakeHost().start()
-        bench.set_host(host.address)
-        _, result = bench.start()
-        bench.set_host(host.address, HostState.DRAINING)
+    async def scenario() -> None:
+        harness, host = UpstreamHarness(), await FakeHost().start()
+        harness.set_host(host.address)
+        _, result = harness.start()
+        harness.set_host(host.address, HostState.DRAINING)
         assert (await result)[0] is Outcome.CONNECT_FAILED
         assert host.received.empty()
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_reset_before_the_last_byte_is_written_is_connect_failed() -> None:
-    async def scene() -> None:
-        bench, loop = UpstreamHarness(), asyncio.get_running_loop()
-        with manual_listener(bench, 4096) as listener:
-            _, result = bench.start(body=b"x" * 20_000_000)
+    """A host cannot have processed a request that was not written completely, so it may be retried."""
+    async def scenario() -> None:
+        harness, loop = UpstreamHarness(), asyncio.get_running_loop()
+        with manual_listener(harness, 4096) as listener:
+            _, result = harness.start(body=b"x" * 20_000_000)
             conn, _ = await loop.sock_accept(listener)
             await loop.sock_recv(conn, 100)
             conn.close()   # bytes are unread, so the kernel sends a reset
             assert (await result)[0] is Outcome.CONNECT_FAILED
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_timeout_before_the_last_byte_is_written_is_connect_failed() -> None:
-    async def scene() -> None:
-        bench, loop = UpstreamHarness(), asyncio.get_running_loop()
-        with manual_listener(bench) as listener:
-            _, result = bench.start(300 * MS, body=b"x" * 20_000_000)
+    """A host cannot have processed a request that was not written completely, so it may be retried."""
+    async def scenario() -> None:
+        harness, loop = UpstreamHarness(), asyncio.get_running_loop()
+        with manual_listener(harness) as listener:
+            _, result = harness.start(300 * MS, body=b"x" * 20_000_000)
             conn, _ = await loop.sock_accept(listener)
             with conn:
                 assert (await result)[0] is Outcome.CONNECT_FAILED
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_cancelled_or_timed_out_attempt_closes_its_connection() -> None:
-    async def scene() -> None:
-        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
-        bench.set_host(host.address)
-        attempt, result = bench.start()
+    async def scenario() -> None:
+        harness, host = UpstreamHarness(), await FakeHost(response=None).start()
+        harness.set_host(host.address)
+        attempt, result = harness.start()
         seen = await host.received.get()
-        bench.upstream.cancel(attempt)
+        harness.upstream.cancel(attempt)
         assert (await result)[0] is Outcome.CANCELLED
         await seen.wait_closed()
-        _, result = bench.start(900 * MS)
+        _, result = harness.start(900 * MS)
         seen = await host.received.get()
         assert 1 <= int(seen.headers["x-timeout-ms"]) <= 900
         assert (await result)[0] is Outcome.TIMEOUT
         await seen.wait_closed()
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_cancelled_connects_do_not_use_up_the_connection_limit() -> None:
-    async def scene() -> None:
-        bench, host = UpstreamHarness(), await FakeHost().start()
-        bench.set_host(host.address)
+    """Guards against connections that stay counted after the attempt that opened them was cancelled."""
+    async def scenario() -> None:
+        harness, host = UpstreamHarness(), await FakeHost().start()
+        harness.set_host(host.address)
         for _ in range(40):   # more than the limit of 20 connections
-            attempt, result = bench.start()
-            bench.upstream.cancel(attempt)
+            attempt, result = harness.start()
+            harness.upstream.cancel(attempt)
             assert (await result)[0] is Outcome.CANCELLED
-        assert (await bench.start()[1])[0] is Outcome.OK
-    run_scenario(scene)
+        assert (await harness.start()[1])[0] is Outcome.OK
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("change", ["restart", "move", "gone"])
 def test_connections_of_a_replaced_host_are_closed_and_not_reused(change: str) -> None:
-    async def scene() -> None:
-        bench, host, other = UpstreamHarness(), await FakeHost().start(), await FakeHost().start()
-        bench.set_host(host.address)
-        assert (await bench.start()[1])[0] is Outcome.OK
+    """Guards against requests on connections to a process that has restarted, moved or left the list."""
+    async def scenario() -> None:
+        harness, host, other = UpstreamHarness(), await FakeHost().start(), await FakeHost().start()
+        harness.set_host(host.address)
+        assert (await harness.start()[1])[0] is Outcome.OK
         seen = await host.received.get()
         if change == "gone":
-            bench.set_host(host.address, HostState.GONE)
-        bench.set_host(other.address if change == "move" else host.address,
+            harness.set_host(host.address, HostState.GONE)
+        harness.set_host(other.address if change == "move" else host.address,
                        started_ns=5 if change == "restart" else 0)
         await seen.wait_closed()
-        assert (await bench.start()[1])[0] is Outcome.OK
+        assert (await harness.start()[1])[0] is Outcome.OK
         assert host.connections + other.connections == 2
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_most_recently_used_connection_is_reused_and_idle_ones_are_closed() -> None:
-    async def scene() -> None:
-        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
-        bench.set_host(host.address)
-        results = [bench.start()[1] for _ in range(2)]
+    async def scenario() -> None:
+        harness, host = UpstreamHarness(), await FakeHost(response=None).start()
+        harness.set_host(host.address)
+        results = [harness.start()[1] for _ in range(2)]
         seen = [await host.received.get() for _ in range(2)]
         for pending, result in zip(seen, results, strict=True):
             pending.respond()
             assert (await result)[0] is Outcome.OK
         await wait_until_reusable()
-        bench.upstream.sweep(now_ns() + 8 * SECOND)
-        third, result = bench.start()
+        harness.upstream.sweep(now_ns() + 8 * SECOND)
+        third, result = harness.start()
         assert (await seen[1].reader.readline()).startswith(b"GET ")   # on the connection that became idle last
-        bench.upstream.cancel(third)
-        bench.upstream.sweep(now_ns() + 10 * SECOND)   # the host closes idle connections after 15 s
+        harness.upstream.cancel(third)
+        harness.upstream.sweep(now_ns() + 10 * SECOND)   # the host closes idle connections after 15 s
         await seen[0].wait_closed()
-    run_scenario(scene)
+    run_scenario(scenario)
 
 
 def test_unsolicited_bytes_close_an_idle_connection() -> None:
-    async def scene() -> None:
-        bench, host = UpstreamHarness(), await FakeHost(response=None).start()
-        bench.set_host(host.address)
-        _, result = bench.start()
+    """Guards against taking surplus bytes of a host for the response to the next request."""
+    async def scenario() -> None:
+        harness, host = UpstreamHarness(), await FakeHost(response=None).start()
+        harness.set_host(host.address)
+        _, result = harness.start()
         seen = await host.received.get()
         seen.respond(OK + OK)
         assert (await result)[0] is Outcome.OK
         await seen.wait_closed()
-        _, result = bench.start()
+        _, result = harness.start()
         seen = await host.received.get()
         seen.respond()
         assert (await result)[0] is Outcome.OK
         seen.respond(b"noise")
         await seen.wait_closed()
-    run_scenario(scene)
+    run_scenario(scenario)
