--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -153,7 +153,7 @@
 
     @staticmethod
     def send_update(writer: asyncio.StreamWriter, generation: int, instances: list[dict[str, Any]],
-             reset: bool = False) -> None:
+                    reset: bool = False) -> None:
         """Write one update of a watch."""
         FakeDiscovery.send_chunk(writer, json.dumps(
             {"generation": generation, "reset": reset, "instances": instances}).encode() + b"\n")
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -281,7 +281,7 @@
     (StubModule, 502, None),   # this module never acts: the gateway responds before the client's deadline
 ])
 def test_exactly_one_response_whatever_the_module_does(module: type[StubModule], status: int,
-                                                     advice: str | None) -> None:
+                                                       advice: str | None) -> None:
     async def scenario() -> None:
         async with GatewayHarness() as harness:
             await harness.start(FakeHost(), module_factory=module)
@@ -459,7 +459,7 @@
         self.actions.probe("h0")
 
     def on_probe_result(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
-                  load: Sequence[float]) -> None:
+                        load: Sequence[float]) -> None:
         self.actions.send_peer_message(0, f"{host} {outcome.name} {load}".encode())
         self.actions.send_peer_message(9, b"to nobody")
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -33,7 +33,7 @@
     def set_host(self, address: str, state: HostState = HostState.READY, started_ns: int = 0) -> None:
         host, _, port = address.rpartition(":")
         self.upstream.apply(False, [ListedHost(HostEntry("h0", 0, 0, 0, state, 1.0, started_ns),
-                                           (host, int(port)))])
+                                               (host, int(port)))])
 
     def start(self, time_left_ns: int = 9 * SECOND,
               body: bytes = b"") -> tuple[Attempt, asyncio.Future[tuple[Outcome, Response | None]]]:
@@ -251,7 +251,7 @@
         if change == "gone":
             harness.set_host(host.address, HostState.GONE)
         harness.set_host(other.address if change == "move" else host.address,
-                       started_ns=5 if change == "restart" else 0)
+                         started_ns=5 if change == "restart" else 0)
         await seen.wait_closed()
         assert (await harness.start()[1])[0] is Outcome.OK
         assert host.connections + other.connections == 2
