--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -77,11 +77,11 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request that a host received: when its first bytes arrived, and its forwarded timeout."""
+    """A request that a host received."""
 
-    received_at: float
+    at: float          # when its first bytes arrived
     rid: str
-    timeout_s: float
+    timeout_s: float   # the forwarded timeout
     clock_reads: int   # clock reads of the gateway until then
 
 
@@ -89,9 +89,9 @@
 class Host:
     """Responds to each request immediately; each connection has its own thread."""
 
-    respond: Callable[[int], bytes]
-    clock_stall: ClockStall
-    requests: list[ReceivedRequest]
+    answer: Callable[[int], bytes]   # the response to the request with this number
+    stops: ClockStall
+    begins: list[ReceivedRequest]    # of all hosts
     heads_without_id: list[bytes] = field(default_factory=list)
     address: str = ""
 
@@ -121,7 +121,7 @@
                         data = conn.recv(1 << 17)
                         if not data:
                             return
-                    data = self._handle(conn, data, time.monotonic(), self.clock_stall.clock_reads)
+                    data = self._handle(conn, data, time.monotonic(), self.stops.clock_reads)
             except OSError:
                 pass
 
@@ -134,15 +134,15 @@
             if b"x-timeout-ms" in head.lower():
                 self.heads_without_id.append(head)
             raise ConnectionResetError   # otherwise another process meant the previous user of this port
-        self.requests.append(ReceivedRequest(received_at, headers[b"x-request-id"].decode(),
-                                             int(headers[b"x-timeout-ms"]) / 1000, clock_reads))
-        number = len(self.requests)
+        self.begins.append(ReceivedRequest(received_at, headers[b"x-request-id"].decode(),
+                                           int(headers[b"x-timeout-ms"]) / 1000, clock_reads))
+        number = len(self.begins)
         length = int(headers.get(b"content-length", b"0"))
         while b"transfer-encoding" in headers and not rest.endswith(b"0\r\n\r\n"):
             rest += _receive(conn)
         while len(rest) < length:
             rest += _receive(conn)
-        conn.sendall(self.respond(number))
+        conn.sendall(self.answer(number))
         return b"" if b"transfer-encoding" in headers else rest[length:]
 
 
@@ -203,10 +203,10 @@
     """How a request reaches its host."""
 
     closes_connection: bool = False   # hosts close each connection: a new one is opened
-    just_used: bool = False           # the idle connection has just ended a response
+    rests: bool = False               # the idle connection has just ended a response
     retried: bool = False             # the first attempt is not processed: a retry follows
     new_client: bool = False          # the client opens a connection for this request
-    sent_during_stall: bool = False   # the client sends the request while the gateway is stalled
+    unread: bool = False              # the client sends the request while the gateway is stalled
     cls: str = "read"
     body: bytes = b""
     chunked: bool = False
@@ -223,11 +223,11 @@
         assert client.read_status() == 200
         if self.new_client:
             client.close()
-        if not self.just_used:
+        if not self.rests:
             time.sleep(IDLE_S)
         if not self.retried:
             clock_stall.arm(stall_at, slow)
-        if self.sent_during_stall:
+        if self.unread:
             clock_stall.stalled.wait(STALL_S)
         client.send("r1", self.cls, self.body, self.chunked)
         client.read_status()
@@ -236,10 +236,10 @@
 
 
 SCENARIOS = {
-    "new": Scenario(closes_connection=True), "idle": Scenario(), "rests": Scenario(just_used=True),
+    "new": Scenario(closes_connection=True), "idle": Scenario(), "rests": Scenario(rests=True),
     "retry": Scenario(retried=True),
-    "new client": Scenario(new_client=True), "unread": Scenario(sent_during_stall=True),
-    "unread, new client": Scenario(sent_during_stall=True, new_client=True), "long": Scenario(cls="keyed", body=LONG),
+    "new client": Scenario(new_client=True), "unread": Scenario(unread=True),
+    "unread, new client": Scenario(unread=True, new_client=True), "long": Scenario(cls="keyed", body=LONG),
     "long, new": Scenario(cls="once", body=LONG, chunked=True, closes_connection=True),
 }
 
@@ -267,7 +267,7 @@
                 await asyncio.to_thread(scenario.ask, client, clock_stall, stall_at, slow)
             assert [head for host in hosts for head in host.heads_without_id] == []
             excess_s.extend(
-                received.timeout_s - (client.sent_at[received.rid] + CLIENT_TIMEOUT_S - received.received_at)
+                received.timeout_s - (client.sent_at[received.rid] + CLIENT_TIMEOUT_S - received.at)
                 for received in requests)
     run_scenario(send_requests)
     return excess_s, requests[-1].clock_reads
