--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -217,7 +217,7 @@
             return NOT_PROCESSED
         return DONE_AND_CLOSE if self.closes_connection else DONE
 
-    def ask(self, client: Client, clock_stall: ClockStall, stall_at: int, slow: bool) -> None:
+    def run_client(self, client: Client, clock_stall: ClockStall, stall_at: int, slow: bool) -> None:
         """Act as the client: one request to warm up, then the request under test."""
         client.send("warm")
         assert client.read_status() == 200
@@ -258,13 +258,13 @@
     async def send_requests() -> None:
         with ExitStack() as exit_stack:
             hosts = [exit_stack.enter_context(Host(respond, clock_stall, requests)) for _ in range(2)]
-            rows: list[dict[str, Any]] = [
+            instances: list[dict[str, Any]] = [
                 {"instanceId": f"h{number}", "hostPort": host.address, "zone": "a", "machineType": "m", "cell": 0,
                  "lifecycle": "in_service", "weight": 1.0, "startedAtMs": 0} for number, host in enumerate(hosts)]
             async with GatewayHarness() as harness:
-                await harness.start(instances=rows)
+                await harness.start(instances=instances)
                 client = Client(harness.address)
-                await asyncio.to_thread(scenario.ask, client, clock_stall, stall_at, slow)
+                await asyncio.to_thread(scenario.run_client, client, clock_stall, stall_at, slow)
             assert [head for host in hosts for head in host.heads_without_id] == []
             excess_s.extend(
                 received.timeout_s - (client.sent_at[received.rid] + CLIENT_TIMEOUT_S - received.at)
