--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,7 @@
-"""Long messages and the forms of HTTP/1.1, over loopback sockets: streamed, bounded, never cut."""
+"""Tests of long messages and HTTP/1.1 framing over loopback sockets.
+
+Long bodies are streamed with bounded memory and are never truncated unnoticed.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from gateway.program import SWEEP_INTERVAL_NS
 from gateway.server import HEAD_TIMEOUT_NS
 from gateway.timers import now_ns
-from tests.sockets import OK, Client, FakeHost, Stage, play, request, rested, until
+from tests.sockets import OK, Client, FakeHost, GatewayHarness, request, run_scenario, wait_until, wait_until_reusable
 from tests.test_operations import HEALTH, OPERATOR, figures
 from tests.test_server import Sends
 
@@ -22,8 +25,8 @@
 FULL = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class RefusesWhatIsFull(Sends):
-    """A module that does not try again."""
+class RefusesAfterFull(Sends):
+    """Refuses a request after `Outcome.FULL` instead of retrying it."""
 
     def on_outcome(self, *args: Any) -> None:
         if Outcome.FULL in args:
@@ -31,13 +34,13 @@
 
 
 def chunks(data: bytes, size: int = 50_000, extension: bytes = b"") -> bytes:
-    """A body in chunks, up to the last but one."""
+    """A chunked body without its last chunk (the one of size 0)."""
     return b"".join(b"%x%b\r\n%b\r\n" % (len(part), extension, part)
-                    for part in (data[at:at + size] for at in range(0, len(data), size)))
+                    for part in (data[start:start + size] for start in range(0, len(data), size)))
 
 
 async def read_chunks(reader: asyncio.StreamReader) -> bytes:
-    """A chunked body, its trailers thrown away."""
+    """Read a chunked body and discard its trailers."""
     body = b""
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
         body += await reader.readexactly(size)
@@ -47,199 +50,206 @@
     return body
 
 
-async def head(client: Client) -> bytes:
-    """The head of an answer."""
+async def read_head(client: Client) -> bytes:
+    """Read the head of a response, in lower case."""
     return (await client.reader.readuntil(b"\r\n\r\n")).lower()
 
 
-def test_a_long_body_goes_on_whole() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_long_request_body_is_forwarded_completely() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host, told=OPERATOR)
-            client = await stage.client()
-            for number in range(2):   # the connections can be used again
-                assert (await client.ask(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
-                seen = await host.seen.get()
+            await harness.start(host, config=OPERATOR)
+            client = await harness.client()
+            for number in range(2):   # twice: both connections can be reused
+                assert (await client.fetch(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
+                seen = await host.received.get()
                 assert (seen.body, seen.headers["content-length"]) == (LONG, str(len(LONG)))
-                await rested()
+                await wait_until_reusable()
             assert host.connections == 1
-            told = await figures(stage)
-            assert (told["upstream_requests"], told["downstream_requests.keyed.completed"]) == (2, 2)
-    play(scene)
+            metrics = await figures(harness)
+            assert (metrics["upstream_requests"], metrics["downstream_requests.keyed.completed"]) == (2, 2)
+    run_scenario(scenario)
 
 
-def test_a_long_body_in_chunks_goes_on_in_chunks() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+def test_long_chunked_request_body_is_forwarded_in_chunks() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked")
                         + chunks(LONG, extension=b";a=b") + b"0\r\nX-Request-ID: other\r\n\r\n")
-            seen = await host.seen.get()
+            seen = await host.received.get()
             assert "content-length" not in seen.headers
             assert await read_chunks(seen.reader) == LONG
-            seen.reply()
-            assert (await client.answer())[0] == 200
-    play(scene)
+            seen.respond()
+            assert (await client.read_response())[0] == 200
+    run_scenario(scenario)
 
 
-def test_pieces_of_any_size_make_the_same_requests() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_requests_that_arrive_byte_by_byte_are_parsed_correctly() -> None:
+    """Guards against parser state that is lost between two reads."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             data = (request("once", rid="r0", body=b"x" * 50)
                     + request("once", rid="r1", drop="Content-Length", Transfer_Encoding="chunked")
                     + chunks(b"y" * 50, 7, b";q=1") + b"0\r\nT: 1\r\n\r\n" + request(rid="r2"))
-            for at in range(len(data)):
-                client.send(data[at:at + 1])
+            for position in range(len(data)):
+                client.send(data[position:position + 1])
                 await client.writer.drain()
                 await asyncio.sleep(0)
             for body in (b"x" * 50, b"y" * 50, b""):
-                assert (await client.answer())[0] == 200
-                assert (await host.seen.get()).body == body
-    play(scene)
-
-
-def test_a_client_that_expects_is_told_to_go_on_in_its_turn() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+                assert (await client.read_response())[0] == 200
+                assert (await host.received.get()).body == body
+    run_scenario(scenario)
+
+
+def test_100_continue_is_sent_after_the_responses_of_earlier_requests() -> None:
+    """Guards against an interim response that overtakes the response to an earlier pipelined request."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             long = request("once", rid="r1", body=LONG, Expect="100-continue")
             client.send(request(rid="r0") + long.removesuffix(LONG))
-            (await host.seen.get()).reply(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-            assert (await client.answer())[0] == 200   # its answer first
+            (await host.received.get()).respond(OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+            assert (await client.read_response())[0] == 200   # the earlier request is answered first
             assert await client.reader.readexactly(25) == b"HTTP/1.1 100 Continue\r\n\r\n"
             client.send(LONG)
-            seen = await host.seen.get()
+            seen = await host.received.get()
             assert seen.body == LONG
-            seen.reply()
-            assert (await client.answer())[0] == 200
-    play(scene)
+            seen.respond()
+            assert (await client.read_response())[0] == 200
+    run_scenario(scenario)
 
 
-def test_white_space_around_a_value_is_no_part_of_it() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_white_space_around_header_values_is_ignored() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host)
-            client = await stage.client()
+            await harness.start(host)
+            client = await harness.client()
             data = request("keyed", body=b"1234")
             lines = data.replace(b"\r\n", b" \t\r\n").replace(b" \t\r\n \t\r\n", b" \t\r\n\r\n")
             lines = lines.replace(b" HTTP/1.1 \t", b" HTTP/1.1").replace(b": ", b":\t ")
-            assert (await client.ask(lines))[0] == 200
-            seen = await host.seen.get()
+            assert (await client.fetch(lines))[0] == 200
+            seen = await host.received.get()
             assert (seen.body, seen.headers["idempotency-key"]) == (b"1234", "kr1")
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_a_long_answer_comes_whole_in_every_form(framing: str, version: bytes) -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
-            client = await stage.client()
+def test_long_response_is_forwarded_completely_in_every_framing(framing: str, version: bytes) -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host, config=OPERATOR)
+            client = await harness.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
-            seen = await host.seen.get()
+            seen = await host.received.get()
             if framing == "length":
-                seen.reply(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG)
+                seen.respond(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG)
             elif framing == "chunks":
-                seen.reply(CHUNKED + chunks(LONG, extension=b";x") + b"0\r\nTrailer: 1\r\n\r\n")
+                seen.respond(CHUNKED + chunks(LONG, extension=b";x") + b"0\r\nTrailer: 1\r\n\r\n")
             else:
-                seen.reply(b"HTTP/1.1 200 OK\r\n\r\n" + LONG)
+                seen.respond(b"HTTP/1.1 200 OK\r\n\r\n" + LONG)
                 seen.writer.close()
-            told = await head(client)
-            if b"transfer-encoding: chunked" in told:
+            response_head = await read_head(client)
+            if b"transfer-encoding: chunked" in response_head:
                 assert version == b"1.1"
                 assert await read_chunks(client.reader) == LONG
-            elif b"content-length" in told:
+            elif b"content-length" in response_head:
                 assert await client.reader.readexactly(len(LONG)) == LONG
             else:
-                assert b"connection: close" in told
+                assert b"connection: close" in response_head
                 assert await client.reader.read(-1) == LONG
-            assert (await figures(stage))["downstream_requests.read.completed"] == 1
-    play(scene)
+            assert (await figures(harness))["downstream_requests.read.completed"] == 1
+    run_scenario(scenario)
 
 
-def test_a_long_answer_that_comes_late_is_not_cut_before_its_length_is_known(
+def test_late_response_of_unknown_length_is_not_truncated_at_the_deadline(
         monkeypatch: pytest.MonkeyPatch) -> None:
-    """It was held to the end of the client's time, when the request was given up."""
+    """Guards against buffering the response up to the client's deadline, at which the request fails.
+
+    The gateway buffers the start of a response of unknown length; here for longer than the client waits.
+    """
     monkeypatch.setattr(upstream, "UNKNOWN_LENGTH_BUFFER_NS", 10 * SECOND)
 
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             client.send(request(X_Timeout_Ms="900"))
-            seen = await host.seen.get()
-            seen.reply(CHUNKED + chunks(b"first"))
-            assert b" 200 " in await head(client)
-            seen.reply(chunks(LONG) + b"0\r\n\r\n")
+            seen = await host.received.get()
+            seen.respond(CHUNKED + chunks(b"first"))
+            assert b" 200 " in await read_head(client)
+            seen.respond(chunks(LONG) + b"0\r\n\r\n")
             assert await read_chunks(client.reader) == b"first" + LONG
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_a_long_answer_that_breaks_can_be_told(framing: str, version: bytes) -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
-            client = await stage.client()
+def test_client_can_detect_a_truncated_long_response(framing: str, version: bytes) -> None:
+    """Guards against ending a truncated response in a way that looks complete to the client."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host, config=OPERATOR)
+            client = await harness.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
-            seen = await host.seen.get()
+            seen = await host.received.get()
             if framing == "length":
-                seen.reply(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(LONG)) + LONG)
+                seen.respond(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(LONG)) + LONG)
             else:
-                seen.reply(CHUNKED + chunks(LONG))
+                seen.respond(CHUNKED + chunks(LONG))
             seen.writer.close()
-            await head(client)
+            await read_head(client)
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 if framing == "length" or version == b"1.0":
-                    await client.reader.readexactly(2 * len(LONG))   # a plain end would look whole to 1.0
+                    await client.reader.readexactly(2 * len(LONG))   # to HTTP/1.0 a close looks complete
                     assert version == b"1.1"
                 else:
                     await read_chunks(client.reader)
-            assert (await figures(stage))["downstream_requests.read.failed"] == 1
-    play(scene)
+            assert (await figures(harness))["downstream_requests.read.failed"] == 1
+    run_scenario(scenario)
 
 
-def test_a_client_that_does_not_read_holds_its_host_back_and_nobody_else() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            slow = FakeHost(reply=None)
-            await stage.begin(slow)
-            client = await stage.client()
+def test_client_that_does_not_read_slows_down_only_its_own_host() -> None:
+    """Guards against unbounded buffering for a slow client, and against blocking other clients meanwhile."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            slow = FakeHost(response=None)
+            await harness.start(slow)
+            client = await harness.client()
             client.send(request())
-            seen = await slow.seen.get()
+            seen = await slow.received.get()
             long = LONG * 8
-            seen.reply(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long) + long)
-            server = stage.gateway.server
+            seen.respond(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(long) + long)
+            server = harness.gateway.server
             conn = next(iter(server._connections))
-            await until(lambda: bool(conn._write_blocked_since))
+            await wait_until(lambda: bool(conn._write_blocked_since))
             assert conn.transport is not None
-            assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest waits at the host
-            assert (await (await stage.client()).ask(HEALTH))[0] == 200
-            await head(client)
+            assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest stays at the host
+            assert (await (await harness.client()).fetch(HEALTH))[0] == 200
+            await read_head(client)
             assert await client.reader.readexactly(len(long)) == long
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_body_over_the_bound_gets_413_and_its_host_no_end() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+def test_body_over_the_size_limit_gets_413_and_the_host_gets_no_complete_body() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked"))
 
             async def send() -> None:
@@ -247,116 +257,119 @@
                     client.send(chunks(LONG))
                     await client.writer.drain()
             sending = asyncio.ensure_future(send())
-            seen = await host.seen.get()
-            await seen.closed()
-            assert (await client.answer())[0] == 413
+            seen = await host.received.get()
+            await seen.wait_closed()
+            assert (await client.read_response())[0] == 413
             sending.cancel()
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_client_that_leaves_takes_its_body_with_it() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+def test_disconnect_during_a_request_body_closes_the_host_connection() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked") + chunks(LONG))
-            seen = await host.seen.get()
+            seen = await host.received.get()
             client.writer.close()
-            await seen.closed()
-            await until(lambda: not stage.gateway.core.open_requests())
-    play(scene)
-
-
-def test_a_refusal_in_the_middle_of_a_body_leaves_the_connection_usable() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=RefusesWhatIsFull)
-            client = await stage.client()
+            await seen.wait_closed()
+            await wait_until(lambda: not harness.gateway.core.open_requests())
+    run_scenario(scenario)
+
+
+def test_connection_stays_usable_after_503_during_a_request_body() -> None:
+    """Guards against taking the remainder of a rejected body for the next request."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host, module_factory=RefusesAfterFull)
+            client = await harness.client()
             client.send(request("once", drop="Content-Length", Transfer_Encoding="chunked") + chunks(LONG))
-            (await host.seen.get()).reply(FULL)
-            assert (await client.answer())[0] == 503
+            (await host.received.get()).respond(FULL)
+            assert (await client.read_response())[0] == 503
             client.send(chunks(LONG) + b"0\r\n\r\n" + request(rid="r2"))
-            (await host.seen.get()).reply()
-            assert (await client.answer())[0] == 200
-    play(scene)
-
-
-def test_a_body_is_judged_by_its_progress() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            steady, stalled = await stage.client(), await stage.client()
+            (await host.received.get()).respond()
+            assert (await client.read_response())[0] == 200
+    run_scenario(scenario)
+
+
+def test_request_body_without_progress_gets_408() -> None:
+    """Guards against a body timeout that also ends requests whose body makes progress."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            steady, stalled = await harness.client(), await harness.client()
             for client, rid in ((steady, "r1"), (stalled, "r2")):
                 client.send(request("once", rid=rid, Content_Length=str(len(LONG))))
             steady.send(LONG[:200_000])
-            server = stage.gateway.server
-            await until(lambda: len(server._connections) == 2 and all(
+            server = harness.gateway.server
+            await wait_until(lambda: len(server._connections) == 2 and all(
                 conn._body_started_at for conn in server._connections)
                 and max(conn._received for conn in server._connections) == 200_000)
-            server.sweep(now_ns() + HEAD_TIMEOUT_NS + SECOND)   # 3.4 s for what 6 s are given for
-            assert (await stalled.answer())[0] == 408
+            server.sweep(now_ns() + HEAD_TIMEOUT_NS + SECOND)   # 3.4 s, while the timeout of the request is 6 s
+            assert (await stalled.read_response())[0] == 408
             assert not steady.reader.at_eof()
-    play(scene)
+    run_scenario(scenario)
 
 
-class Sinking:
-    """A host's connection."""
+class FakeSink:
+    """Stands in for the connection to a host."""
 
     def __init__(self) -> None:
-        self.got = b""
+        self.written = b""
         self.write_blocked = False
         self.ended = False
 
     def write_body(self, data: bytes) -> None:
-        self.got += data
+        self.written += data
 
     def finish_body(self) -> None:
         self.ended = True
 
 
-def test_a_body_can_be_sent_again_until_more_has_come_than_is_kept() -> None:
-    bound = []
-    body, first, second = Body(None, b"a" * (MAX_REPLAY_BYTES - 10), lambda: None), Sinking(), Sinking()
-    body.on_committed = lambda: bound.append(True)
-    first.got += body.attach(first)
+def test_body_can_be_replayed_until_it_exceeds_the_replay_buffer() -> None:
+    committed = []
+    body, first, second = Body(None, b"a" * (MAX_REPLAY_BYTES - 10), lambda: None), FakeSink(), FakeSink()
+    body.on_committed = lambda: committed.append(True)
+    first.written += body.attach(first)
     body.feed(b"b" * 10)
     body.detach(first)
-    assert body.full   # nothing more is read before a host takes it
-    second.got += body.attach(second)
-    assert second.got == first.got == b"a" * (MAX_REPLAY_BYTES - 10) + b"b" * 10
-    assert not bound
+    assert body.full   # nothing more is read until a host takes the body
+    second.written += body.attach(second)
+    assert second.written == first.written == b"a" * (MAX_REPLAY_BYTES - 10) + b"b" * 10
+    assert not committed
     body.feed(b"c")
-    assert bound and not body.replay_buffer
+    assert committed and not body.replay_buffer
     second.write_blocked = True
     assert body.full
     body.finish()
-    assert (second.got[-1:], second.ended) == (b"c", True)
+    assert (second.written[-1:], second.ended) == (b"c", True)
 
 
-def test_many_streams_share_the_room() -> None:
+def test_streams_share_the_memory_budget() -> None:
     stream_budget = StreamBudget(48 << 20)
-    alone = stream_budget.read_bytes()
+    single_stream_bytes = stream_budget.read_bytes()
     stream_budget.streams = 600
-    assert 8 * 1024 <= stream_budget.read_bytes() < alone == 64 * 1024
+    assert 8 * 1024 <= stream_budget.read_bytes() < single_stream_bytes == 64 * 1024
     assert stream_budget.full and 4 * stream_budget.read_bytes() * stream_budget.streams <= stream_budget.max_bytes
 
 
-def test_without_room_a_long_body_is_refused_unsent() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_long_body_over_the_memory_budget_gets_503_and_is_not_sent() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host)
-            stage.gateway.stream_budget.max_bytes = 1000
-            client = await stage.client()
-            status, headers, _ = await client.ask(request("once", body=LONG[:2 * MAX_REPLAY_BYTES]))
+            await harness.start(host)
+            harness.gateway.stream_budget.max_bytes = 1000
+            client = await harness.client()
+            status, headers, _ = await client.fetch(request("once", body=LONG[:2 * MAX_REPLAY_BYTES]))
             assert (status, headers["connection"]) == (503, "close")
-            assert (await (await stage.client()).ask(request("once", rid="r2", body=LONG[:MAX_REPLAY_BYTES])))[0] == 200
-            assert (await host.seen.get()).headers["x-request-id"] == "r2"
-    play(scene)
+            assert (await (await harness.client()).fetch(
+                request("once", rid="r2", body=LONG[:MAX_REPLAY_BYTES])))[0] == 200
+            assert (await host.received.get()).headers["x-request-id"] == "r2"
+    run_scenario(scenario)
 
 
-def test_slow_heads_have_their_time() -> None:
+def test_head_timeout_is_between_two_and_three_seconds() -> None:
     assert 2 * SECOND < HEAD_TIMEOUT_NS <= 3 * SECOND - SWEEP_INTERVAL_NS
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Clients' side and the core, over loopback sockets: exactly one answer, whatever comes."""
+"""Tests of the gateway's client side and core over loopback sockets: each request gets exactly one response."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from gateway.syscalls import pending_events
 from gateway.timers import now_ns
 from gateway.upstream import Connection
-from tests.sockets import OK, SETTINGS, FakeHost, Stage, play, request, rested, until
+from tests.sockets import OK, SETTINGS, FakeHost, GatewayHarness, request, run_scenario, wait_until, wait_until_reusable
 
-STALL = 900 * MS
-"""A busy machine may stand still for so long: the verdict must not depend on it."""
+PAUSE_MARGIN_NS = 900 * MS
+"""Margin for a pause of a busy machine, which must not make a test fail."""
 KEYED = request("keyed", body=b"some body", Content_Type="text/plain", Connection="X-Hop", X_Hop="1")
 
 
-class Stub:
-    """A module that does as a test says: one action at each request."""
+class StubModule:
+    """A decision module for tests: performs one action for each request."""
 
     def __init__(self, settings: Settings, salt: int, actions: Actions) -> None:
         self.actions = actions
@@ -36,25 +36,25 @@
         self.act(rid)
 
     def act(self, rid: int) -> None:
-        """Nothing."""
+        """Perform the action of this module; here none."""
 
 
-class Refuses(Stub):
+class Refuses(StubModule):
     def act(self, rid: int) -> None:
         self.actions.refuse(rid, 1250 * MS)
 
 
-class Fails(Stub):
+class Fails(StubModule):
     def act(self, rid: int) -> None:
         self.actions.fail(rid)
 
 
-class Raises(Stub):
+class RaisesOnRequest(StubModule):
     def act(self, rid: int) -> None:
         raise RuntimeError("on purpose")
 
 
-class RaisesLater(Stub):
+class RaisesOnOutcome(StubModule):
     def act(self, rid: int) -> None:
         self.actions.send(rid, "h0", 0)
 
@@ -62,69 +62,69 @@
         raise RuntimeError("on purpose")
 
 
-class Sends(Stub):
+class Sends(StubModule):
     def act(self, rid: int) -> None:
         self.actions.send(rid, "h0", 0)
 
 
-class TwoCopies(Stub):
+class SendsTwoAttempts(StubModule):
     def act(self, rid: int) -> None:
         self.actions.send(rid, "h0", 0)
         self.actions.send(rid, "h0", 0)
 
 
-class SendsAfterItsAnswer(Stub):
-    """Also asks for an answer twice, and from inside an event that its own action causes."""
+class SendsAfterResponse(StubModule):
+    """Also ends the request twice, and acts while its own actions cause further events."""
 
     def __init__(self, settings: Settings, salt: int, actions: Actions) -> None:
         super().__init__(settings, salt, actions)
-        self.depth = self.deepest = 0
+        self.depth = self.max_depth = 0
         self.outcomes: list[Any] = []
 
     def act(self, rid: int) -> None:
         self.depth += 1
-        self.deepest = max(self.deepest, self.depth)
-        self.actions.send(rid, "nowhere", 0)   # ends at once
+        self.max_depth = max(self.max_depth, self.depth)
+        self.actions.send(rid, "nowhere", 0)   # fails immediately
         self.actions.fail(rid)
         self.actions.refuse(rid, 0)
         self.actions.send(rid, "h0", 0)
         self.depth -= 1
 
     def on_outcome(self, now_ns: int, rid: int, attempt: int, host: str, outcome: Any, *args: Any) -> None:
-        self.deepest = max(self.deepest, self.depth + 1)
+        self.max_depth = max(self.max_depth, self.depth + 1)
         self.outcomes.append((attempt, host, outcome.name))
 
 
-def test_a_request_goes_on_unchanged() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_request_is_forwarded_unchanged_except_for_hop_by_hop_headers() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host)
-            assert (await (await stage.client()).ask(KEYED))[::2] == (200, b"done")
-            seen = await host.seen.get()
-            assert (seen.first, seen.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
+            await harness.start(host)
+            assert (await (await harness.client()).fetch(KEYED))[::2] == (200, b"done")
+            seen = await host.received.get()
+            assert (seen.request_line, seen.body) == ("POST /keyed/x?q=1 HTTP/1.1", b"some body")
             assert {name: seen.headers.get(name) for name in (
                 "x-request-id", "idempotency-key", "content-type", "x-hop", "connection")} == {
                 "x-request-id": "r1", "idempotency-key": "kr1", "content-type": "text/plain",
                 "x-hop": None, "connection": None}
             assert 0 < int(seen.headers["x-timeout-ms"]) < 6000
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_ready_only_once_a_host_is_known() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_readiness_is_503_until_a_host_is_known() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = await FakeHost().start()
-            await stage.begin(rows=[])
-            client = await stage.client()
-            ask = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-            assert (await client.ask(ask))[0] == 503
-            _, writer = await stage.discovery.calls.get()
-            stage.discovery.head(writer)
-            stage.discovery.line(writer, 42, [host.row()])
-            await until(lambda: stage.gateway.core.has_hosts)
-            assert (await client.ask(ask))[0] == 200
-    play(scene)
+            await harness.start(instances=[])
+            client = await harness.client()
+            check = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+            assert (await client.fetch(check))[0] == 503
+            _, writer = await harness.discovery.calls.get()
+            harness.discovery.send_head(writer)
+            harness.discovery.send_update(writer, 42, [host.instance()])
+            await wait_until(lambda: harness.gateway.core.has_hosts)
+            assert (await client.fetch(check))[0] == 200
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("status", "data"), [
@@ -162,296 +162,304 @@
     (431, request(drop="Host").replace(b"\r\n\r\n", b"\r\nX: x" * 200 + b"\r\n\r\n")),
     (431, b"GET /" + b"x" * 70000),
 ])
-def test_bad_input_gets_an_error_and_nothing_is_sent(status: int, data: bytes) -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_invalid_request_gets_an_error_and_is_not_forwarded(status: int, data: bytes) -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host)
-            assert (await (await stage.client()).ask(data))[0] == status
-            assert (await (await stage.client()).ask(request(rid="good")))[0] == 200
-            assert (await host.seen.get()).headers["x-request-id"] == "good"
-            assert host.seen.empty()
-    play(scene)
+            await harness.start(host)
+            assert (await (await harness.client()).fetch(data))[0] == status
+            assert (await (await harness.client()).fetch(request(rid="good")))[0] == 200
+            assert (await host.received.get()).headers["x-request-id"] == "good"
+            assert host.received.empty()
+    run_scenario(scenario)
 
 
-def test_a_body_at_the_limit_passes_both_ways() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_body_of_the_replay_buffer_size_is_forwarded_both_ways() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             body = bytes(range(256)) * 256
-            host = FakeHost(reply=b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + body)
-            await stage.begin(host)
-            assert (await (await stage.client()).ask(request("once", body=body)))[::2] == (200, body)
-            assert (await host.seen.get()).body == body
-    play(scene)
-
-
-def test_pipelined_requests_are_answered_in_their_order() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=Sends)
-            client = await stage.client()
+            host = FakeHost(response=b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + body)
+            await harness.start(host)
+            assert (await (await harness.client()).fetch(request("once", body=body)))[::2] == (200, body)
+            assert (await host.received.get()).body == body
+    run_scenario(scenario)
+
+
+def test_pipelined_responses_keep_the_order_of_the_requests() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host, module_factory=Sends)
+            client = await harness.client()
             client.send(b"".join(request(rid=f"r{n}") for n in range(3)))
-            seen = [await host.seen.get() for _ in range(3)]
-            for item in reversed(seen):
-                text = item.headers["x-request-id"].encode()
-                item.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + text)
-            assert [(await client.answer())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
-    play(scene)
-
-
-def test_many_pipelined_requests_all_get_their_answer() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
-            client = await stage.client()
+            seen = [await host.received.get() for _ in range(3)]
+            for pending in reversed(seen):
+                text = pending.headers["x-request-id"].encode()
+                pending.respond(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + text)
+            assert [(await client.read_response())[2] for _ in range(3)] == [b"r0", b"r1", b"r2"]
+    run_scenario(scenario)
+
+
+def test_each_of_many_pipelined_requests_gets_a_response() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            client = await harness.client()
             client.send(b"".join(request(rid=f"r{n}") for n in range(200)))
             for _ in range(200):
-                assert (await client.answer())[0] in (200, 503)
-    play(scene)
+                assert (await client.read_response())[0] in (200, 503)
+    run_scenario(scenario)
 
 
-def test_a_half_closed_client_gets_its_answer() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+def test_half_closed_client_gets_its_response() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             client.send(request("once"))
             client.writer.write_eof()
-            (await host.seen.get()).reply()
-            assert (await client.answer())[::2] == (200, b"done")
+            (await host.received.get()).respond()
+            assert (await client.read_response())[::2] == (200, b"done")
             assert await client.reader.read() == b""
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_nothing_new_is_sent_for_a_client_that_has_ended_its_sending() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+def test_no_retry_is_sent_for_a_half_closed_client() -> None:
+    """Guards against further attempts for a client that has shut down its sending side: it may have left."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             client.send(request())
-            seen = await host.seen.get()
+            seen = await host.received.get()
             client.writer.write_eof()
-            await until(lambda: all(item.client_half_closed for item in stage.gateway.core.open_requests()))
-            seen.reply(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
-            assert (await client.answer())[0] == 502
-            assert host.seen.empty()
-    play(scene)
-
-
-def test_a_client_that_has_gone_takes_its_attempts_along() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            client = await stage.client()
+            await wait_until(lambda: all(item.client_half_closed for item in harness.gateway.core.open_requests()))
+            seen.respond(b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n")
+            assert (await client.read_response())[0] == 502
+            assert host.received.empty()
+    run_scenario(scenario)
+
+
+def test_attempts_of_a_disconnected_client_are_cancelled() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            client = await harness.client()
             client.send(request())
-            seen = await host.seen.get()
+            seen = await host.received.get()
             sock = client.writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.writer.transport.abort()
-            await seen.closed()
-            assert not stage.gateway.core.open_requests()
-    play(scene)
-
-
-def test_an_open_id_is_not_taken_twice() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host)
-            first, second = await stage.client(), await stage.client()
+            await seen.wait_closed()
+            assert not harness.gateway.core.open_requests()
+    run_scenario(scenario)
+
+
+def test_request_id_of_an_open_request_is_rejected() -> None:
+    """Guards against two open requests with the same id, which the decision module does not accept."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host)
+            first, second = await harness.client(), await harness.client()
             first.send(request())
-            seen = await host.seen.get()
-            assert (await second.ask(request()))[0] == 400
-            seen.reply()
-            assert (await first.answer())[0] == 200
-            await rested()
+            seen = await host.received.get()
+            assert (await second.fetch(request()))[0] == 400
+            seen.respond()
+            assert (await first.read_response())[0] == 200
+            await wait_until_reusable()
             second.send(request())
-            assert (await seen.reader.readline()).startswith(b"GET ")   # once it is over, it may come again
-    play(scene)
+            assert (await seen.reader.readline()).startswith(b"GET ")   # the id is free again
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("module", "status", "advice"), [
-    (Refuses, 503, "1.250"), (Fails, 502, None), (Raises, 502, None), (RaisesLater, 200, None),
-    (Stub, 502, None),   # the last never answers: the gateway does, in the client's time
+    (Refuses, 503, "1.250"), (Fails, 502, None), (RaisesOnRequest, 502, None), (RaisesOnOutcome, 200, None),
+    (StubModule, 502, None),   # this module never acts: the gateway responds before the client's deadline
 ])
-def test_exactly_one_answer_whatever_the_module_does(module: type[Stub], status: int,
-                                                     advice: str | None) -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost(), make=module)
-            client, begun = await stage.client(), now_ns()
-            got, headers, _ = await client.ask(request(X_Timeout_Ms="1000"))
+def test_exactly_one_response_whatever_the_module_does(module: type[StubModule], status: int,
+                                                       advice: str | None) -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost(), module_factory=module)
+            client, sent_at = await harness.client(), now_ns()
+            got, headers, _ = await client.fetch(request(X_Timeout_Ms="1000"))
             assert (got, headers.get("retry-after")) == (status, advice)
-            assert now_ns() - begun < 1000 * MS + STALL
-            assert (await client.ask(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # nothing between
-            assert not stage.gateway.core.open_requests()
-    play(scene)
-
-
-def test_the_other_copy_is_cancelled_when_one_is_served() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=TwoCopies)
-            client = await stage.client()
+            assert now_ns() - sent_at < 1000 * MS + PAUSE_MARGIN_NS
+            assert (await client.fetch(request(rid="r2", X_Timeout_Ms="1000")))[0] == status   # no extra response
+            assert not harness.gateway.core.open_requests()
+    run_scenario(scenario)
+
+
+def test_other_attempt_is_cancelled_when_one_succeeds() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host, module_factory=SendsTwoAttempts)
+            client = await harness.client()
             client.send(request())
-            first, second = await host.seen.get(), await host.seen.get()
-            second.reply()
-            assert (await client.answer())[0] == 200
-            await first.closed()
-            assert not stage.gateway.core.open_requests()
-    play(scene)
-
-
-def test_after_the_answer_nothing_is_sent_and_no_event_is_nested() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+            first, second = await host.received.get(), await host.received.get()
+            second.respond()
+            assert (await client.read_response())[0] == 200
+            await first.wait_closed()
+            assert not harness.gateway.core.open_requests()
+    run_scenario(scenario)
+
+
+def test_nothing_is_sent_after_the_response_and_events_do_not_nest() -> None:
+    """Guards against attempts after the end of a request, and against events delivered inside another event."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            modules: list[SendsAfterItsAnswer] = []
+            modules: list[SendsAfterResponse] = []
 
             def make(settings: Settings, salt: int, actions: Actions) -> Any:
-                modules.append(SendsAfterItsAnswer(settings, salt, actions))
+                modules.append(SendsAfterResponse(settings, salt, actions))
                 return modules[0]
-            await stage.begin(host, make=make)
-            client = await stage.client()
-            assert (await client.ask(request()))[0] == 502
-            assert (await client.ask(request(rid="r2")))[0] == 502
-            assert host.seen.empty()
-            assert modules[0].deepest == 1
+            await harness.start(host, module_factory=make)
+            client = await harness.client()
+            assert (await client.fetch(request()))[0] == 502
+            assert (await client.fetch(request(rid="r2")))[0] == 502
+            assert host.received.empty()
+            assert modules[0].max_depth == 1
             assert modules[0].outcomes[:2] == [(0, "nowhere", "CONNECT_FAILED"), (1, "h0", "MOOT")]
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_slow_and_silent_clients_are_closed() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
-            slow, idle = await stage.client(), await stage.client()
-            assert (await idle.ask(request()))[0] == 200
+def test_slow_request_gets_408_and_idle_connection_is_closed() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            slow, idle = await harness.client(), await harness.client()
+            assert (await idle.fetch(request()))[0] == 200
             slow.send(b"GET /read/x HTTP/1.1\r\nX-Request-ID")
-            await until(lambda: stage.gateway.server.connection_count == 2 and stage.gateway.server.receiving == 1)
-            stage.gateway.server.sweep(now_ns() + 2500 * MS)
-            assert (await slow.answer())[0] == 408
-            stage.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
+            await wait_until(lambda: harness.gateway.server.connection_count == 2
+                             and harness.gateway.server.receiving == 1)
+            harness.gateway.server.sweep(now_ns() + 2500 * MS)
+            assert (await slow.read_response())[0] == 408
+            harness.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + SECOND)
             assert await idle.reader.read() == b""
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("begun", [b"", b"\r\n", b"GET /read/x HTTP/1.1\r\nX-Request-ID",
                                    b"POST /keyed/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nfour"])
-def test_a_peer_without_a_proper_request_is_told_or_closed_within_three_seconds(begun: bytes) -> None:
-    """Silent ones were kept for 90 s and slow ones for 10 s, and each held a descriptor."""
-    async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
-            peer = await stage.client()
-            await until(lambda: stage.gateway.server.connection_count == 1)
+def test_connection_without_a_complete_request_ends_within_three_seconds(begun: bytes) -> None:
+    """Guards against connections that occupy a descriptor for long without a complete request.
+
+    With a longer limit, silent connections stay open for 90 s and slow ones for 10 s.
+    """
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            peer = await harness.client()
+            await wait_until(lambda: harness.gateway.server.connection_count == 1)
             connected = now_ns()
             peer.send(begun)
             if len(begun) > 2:
-                await until(lambda: stage.gateway.server.receiving == 1)
-            (conn,) = stage.gateway.server._connections
-            await until(lambda: peer.writer.transport.get_write_buffer_size() == 0
-                        and conn.transport is not None
-                        and not pending_events(conn.transport))   # all has come and is read
-            stage.gateway.server.sweep(connected + 2500 * MS)   # swept twice a second
+                await wait_until(lambda: harness.gateway.server.receiving == 1)
+            (conn,) = harness.gateway.server._connections
+            await wait_until(lambda: peer.writer.transport.get_write_buffer_size() == 0
+                             and conn.transport is not None
+                             and not pending_events(conn.transport))   # all bytes have arrived and are read
+            harness.gateway.server.sweep(connected + 2500 * MS)   # the gateway sweeps twice a second
             assert conn.transport is not None
-            assert conn.discarding or conn.transport.is_closing()     # at once, not by a later sweep
+            assert conn.discarding or conn.transport.is_closing()     # in this sweep, not in a later one
             try:
-                told = await peer.reader.read()
-            except ConnectionResetError:   # closed before what came was read
-                told = b""
-            assert told.startswith(b"HTTP/1.1 408" if len(begun) > 2 else b"")
-    play(scene)
-
-
-def test_too_many_connections_are_told_so() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=Sends)
-            stage.gateway.server.max_connections = 2
-            busy = [await stage.client() for _ in range(2)]
+                received = await peer.reader.read()
+            except ConnectionResetError:   # closed while received bytes were unread
+                received = b""
+            assert received.startswith(b"HTTP/1.1 408" if len(begun) > 2 else b"")
+    run_scenario(scenario)
+
+
+def test_connection_over_the_limit_gets_503() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host, module_factory=Sends)
+            harness.gateway.server.max_connections = 2
+            busy = [await harness.client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(request(rid=f"b{number}"))
-            seen = [await host.seen.get() for _ in busy]
-            status, headers, _ = await (await stage.client()).ask(request(rid="late"))
+            seen = [await host.received.get() for _ in busy]
+            status, headers, _ = await (await harness.client()).fetch(request(rid="late"))
             assert (status, headers["connection"]) == (503, "close")
             for client, item in zip(busy, seen, strict=True):
-                item.reply()
-                assert (await client.answer())[0] == 200
-            assert (await (await stage.client()).ask(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
-    play(scene)
-
-
-def test_an_upgrade_is_passed_over() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost(reply=OK))
-            client = await stage.client()
-            assert (await client.ask(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
+                item.respond()
+                assert (await client.read_response())[0] == 200
+            assert (await (await harness.client()).fetch(b"GET /health/ready HTTP/1.1\r\n\r\n"))[0] == 200
+    run_scenario(scenario)
+
+
+def test_upgrade_request_is_handled_as_plain_http() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost(response=OK))
+            client = await harness.client()
+            assert (await client.fetch(request(Connection="Upgrade", Upgrade="h2c")))[0] == 200
             assert await client.reader.read() == b""
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_expectant_client_is_told_to_go_on() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            await stage.begin(FakeHost())
-            client = await stage.client()
+def test_expect_100_continue_gets_an_interim_response() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            await harness.start(FakeHost())
+            client = await harness.client()
             message = request("once", body=b"some body", Expect="100-continue")
             client.send(message[:-9])
             assert (await asyncio.wait_for(client.reader.readline(), 5)).startswith(b"HTTP/1.1 100")
             await client.reader.readline()
-            assert (await client.ask(message[-9:]))[0] == 200
-    play(scene)
+            assert (await client.fetch(message[-9:]))[0] == 200
+    run_scenario(scenario)
 
 
-def test_pipelined_requests_are_all_answered_at_a_planned_stop() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=None)
-            await stage.begin(host, make=Sends)
-            client = await stage.client()
+def test_pipelined_requests_are_answered_during_a_graceful_stop() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=None)
+            await harness.start(host, module_factory=Sends)
+            client = await harness.client()
             client.send(request(rid="r0") + request(rid="r1"))
-            seen = [await host.seen.get() for _ in range(2)]
-            stage.gateway.stop()
+            seen = [await host.received.get() for _ in range(2)]
+            harness.gateway.stop()
             seen.sort(key=lambda item: item.headers["x-request-id"])
             for advice, item in zip((None, "close"), seen, strict=True):
-                item.reply()
-                status, headers, _ = await client.answer()
+                item.respond()
+                status, headers, _ = await client.read_response()
                 assert (status, headers.get("connection")) == (200, advice)
             assert await client.reader.read() == b""
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_trailers_are_no_headers() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_trailers_are_not_forwarded_as_headers() -> None:
+    """Guards against a trailer that replaces a header, such as X-Request-ID, after the headers were checked."""
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host)
+            await harness.start(host)
             data = request("once", drop="Content-Length", Transfer_Encoding="chunked")
             data += b"9\r\nsome body\r\n0\r\nX-Late: 1\r\nX-Request-ID: another\r\n\r\n"
-            assert (await (await stage.client()).ask(data))[0] == 200
-            seen = await host.seen.get()
+            assert (await (await harness.client()).fetch(data))[0] == 200
+            seen = await host.received.get()
             assert (seen.headers["x-request-id"], seen.headers.get("x-late"), seen.body) == (
                 "r1", None, b"some body")
-    play(scene)
+    run_scenario(scenario)
 
 
-class Probes(Stub):
-    """Probes at each request, and tells the answer to its peers."""
+class Probes(StubModule):
+    """Probes a host for each request and sends the result to its peers."""
 
     def act(self, rid: int) -> None:
         self.rid = rid
         self.actions.probe("h0")
 
     def on_probe_result(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
-                  load: Sequence[float]) -> None:
+                        load: Sequence[float]) -> None:
         self.actions.send_peer_message(0, f"{host} {outcome.name} {load}".encode())
         self.actions.send_peer_message(9, b"to nobody")
 
@@ -459,53 +467,57 @@
         self.actions.send(self.rid, "h0", 0) if content == b"h0 OK (7.0,)" and peer == 0 else None
 
 
-def test_probes_and_peers_where_the_settings_allow_them() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"inflight":7}')
+def test_probes_and_peer_messages_work_where_the_settings_allow_them() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"inflight":7}')
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
                 free.bind(("127.0.0.1", 0))
-                own = f"127.0.0.1:{free.getsockname()[1]}"
+                own_address = f"127.0.0.1:{free.getsockname()[1]}"
             settings = {**SETTINGS, "caps": {**SETTINGS["caps"], "probes": True, "peers": True},
                         "load-report": {"source": "on_probe", "columns": ["outstanding"]}}
-            told = {"peer_listen": own, "peers": [own], "settings": settings}
-            await stage.begin(host, make=Probes, told=told)
-            assert (await (await stage.client()).ask(request()))[0] == 200
-            assert (await host.seen.get()).first == "GET /stats HTTP/1.1"
-            assert (await host.seen.get()).first == "GET /read/x?q=1 HTTP/1.1"
-    play(scene)
+            config = {"peer_listen": own_address, "peers": [own_address], "settings": settings}
+            await harness.start(host, module_factory=Probes, config=config)
+            assert (await (await harness.client()).fetch(request()))[0] == 200
+            assert (await host.received.get()).request_line == "GET /stats HTTP/1.1"
+            assert (await host.received.get()).request_line == "GET /read/x?q=1 HTTP/1.1"
+    run_scenario(scenario)
 
 
-def test_no_probe_where_the_settings_allow_none() -> None:
-    async def scene() -> None:
-        async with Stage() as stage:
+def test_no_probe_is_sent_where_the_settings_forbid_probes() -> None:
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
             host = FakeHost()
-            await stage.begin(host, make=Probes)
-            assert (await (await stage.client()).ask(request(X_Timeout_Ms="200")))[0] == 502
+            await harness.start(host, module_factory=Probes)
+            assert (await (await harness.client()).fetch(request(X_Timeout_Ms="200")))[0] == 502
             assert host.connections == 0
-    play(scene)
+    run_scenario(scenario)
+
 
+def test_closed_connections_leave_no_reference_cycles() -> None:
+    """Guards against a reference cycle between a connection and its parser.
 
-def test_connections_that_have_ended_leave_nothing_for_the_collector() -> None:
-    """Each stayed in a cycle with its parser: memory grew by what had closed until all was searched."""
-    async def scene() -> None:
-        async with Stage() as stage:
-            host = FakeHost(reply=OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-            await stage.begin(host)
-            client = await stage.client()
-            assert (await client.ask(request()))[0] == 200
+    With such a cycle, closed connections stay in memory until a full garbage collection.
+    """
+    async def scenario() -> None:
+        async with GatewayHarness() as harness:
+            host = FakeHost(response=OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+            await harness.start(host)
+            client = await harness.client()
+            assert (await client.fetch(request()))[0] == 200
             client.writer.close()
-            await until(lambda: not stage.gateway.server.connection_count and not stage.gateway.upstream._connections)
-            stage.gateway.timers._heap.clear()   # they name it until they ring
+            await wait_until(lambda: not harness.gateway.server.connection_count
+                             and not harness.gateway.upstream._connections)
+            harness.gateway.timers._heap.clear()   # timers refer to the connection until they fire
             for _ in range(3):
                 await asyncio.sleep(0)
-            gateway = stage.gateway   # what other tests have left is not looked at
+            gateway = harness.gateway   # objects that other tests left behind are not counted
             assert not [item for item in gc.get_objects()
                         if (isinstance(item, ClientConnection) and item.server is gateway.server)
                         or (isinstance(item, Connection) and item._pool is gateway.upstream)]
     gc.collect()
     gc.disable()
     try:
-        play(scene)
+        run_scenario(scenario)
     finally:
         gc.enable()
