--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -12,8 +12,8 @@
 
 from .crowds import draw_crowded
 from .plan import LASTS_S, Plan, draw
-from .play import build_shim, play
 from .processes import ROOT
+from .runner import build_shim, run_plan
 
 
 def main() -> int:
@@ -38,7 +38,7 @@
         shim = build_shim(Path(folder))
         for plan in plans:
             keep = told.out / f"seed-{plan.seed}"
-            played = uvloop.run(play(plan, shim, told.root, keep))
+            played = uvloop.run(run_plan(plan, shim, told.root, keep))
             broken = {rule: len(cases) for rule, cases in played.broken.items()}
             red += bool(broken)
             print(f"seed {plan.seed}: {broken or 'held'} {played.figures}", flush=True)
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from math import inf
 
-from .books import LATE_ANSWER, Ask, Books
 from .hosts import Clock
+from .journal import LATE_ANSWER, Ask, Journal
 
 CROSSING_S = 0.05
 """A close that comes so soon after a request on a resting connection may have crossed it."""
@@ -31,7 +31,7 @@
 class Client:
     """One client."""
 
-    def __init__(self, front: Front, books: Books, clock: Clock, rng: random.Random, pause: float, leaves: float,
+    def __init__(self, front: Front, books: Journal, clock: Clock, rng: random.Random, pause: float, leaves: float,
                  number: str) -> None:
         self._front, self._books, self._clock, self._rng = front, books, clock, rng
         self._pause, self._leaves, self._number = pause, leaves, number
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from .addresses import free_address
-from .books import Books, Change, Spell, Watch
 from .hosts import Clock, Host
+from .journal import Change, Journal, Spell, Watch
 from .plan import CallPlan
 
 BEAT_S = 2.0
@@ -201,7 +201,7 @@
         writer.write(HEAD)
         self._watches.add(writer)
         watch = Watch(self.gateway, service.clock())
-        service.books.watches.append(watch)
+        service.journal.watches.append(watch)
         try:
             await self._keep_telling(writer, since)
         finally:
@@ -272,8 +272,8 @@
 class Discovery:
     """The list, its versions, and the doors."""
 
-    def __init__(self, books: Books, clock: Clock, hosts: dict[str, Host], gateways: list[str]) -> None:
-        self.books = books
+    def __init__(self, books: Journal, clock: Clock, hosts: dict[str, Host], gateways: list[str]) -> None:
+        self.journal = books
         self.clock = clock
         self._hosts = hosts
         self.states = {name: "in_service" for name in hosts}
@@ -289,7 +289,7 @@
         self.generation += 1
         self.states[host] = state
         self._changed_at[host] = self.generation
-        self.books.changes.append(Change(self.clock(), self.generation, host, state == "in_service"))
+        self.journal.changes.append(Change(self.clock(), self.generation, host, state == "in_service"))
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -308,21 +308,21 @@
     def told(self, gateway: str, generation: int) -> None:
         """A list has left for a gateway: its watch speaks again, if it was silent."""
         self.silence_ended(gateway)
-        for life in reversed(self.books.lives):
+        for life in reversed(self.journal.lives):
             if life.gateway == gateway:
                 life.written.append((self.clock(), generation))
                 return
 
     def silence_ended(self, gateway: str) -> None:
         """A gateway has no silent watch any more."""
-        for spell in self.books.spells:
+        for spell in self.journal.spells:
             if spell.gateway == gateway and spell.kind == "silent":
                 spell.end = min(spell.end, self.clock())
 
     def spell(self, gateway: str, kind: str) -> Spell:
         """A stretch without discovery, or with a silent watch, begins."""
         spell = Spell(gateway, kind, self.clock())
-        self.books.spells.append(spell)
+        self.journal.spells.append(spell)
         return spell
 
     async def close(self) -> None:
--- a/tests/soak/hosts.py
+++ b/tests/soak/hosts.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from .addresses import free_address
-from .books import Begin, Books
+from .journal import Begin, Journal
 
 Clock = Callable[[], float]
 
@@ -34,7 +34,7 @@
         host = self._host
         if self._begin is None:
             self._begin = Begin(host.clock(), self._gateway, host.name, "")
-            host.books.begins.append(self._begin)
+            host.journal.attempts.append(self._begin)
         self._data += data
         head, found, rest = self._data.partition(b"\r\n\r\n")
         if not found:
@@ -52,8 +52,8 @@
 class Host:
     """One host: answers after a while, unless a fault is in force."""
 
-    def __init__(self, name: str, books: Books, clock: Clock, rng: random.Random, work: float) -> None:
-        self.name, self.books, self.clock = name, books, clock
+    def __init__(self, name: str, books: Journal, clock: Clock, rng: random.Random, work: float) -> None:
+        self.name, self.journal, self.clock = name, books, clock
         self._rng = rng
         self._work = work
         self.hanging = False
--- a/tests/soak/books.py
+++ b/tests/soak/journal.py
@@ -127,7 +127,7 @@
     capacity: float
 
 
-class Books:
+class Journal:
     """All that was seen in one play."""
 
     def __init__(self, terms: Terms) -> None:
@@ -136,7 +136,7 @@
         self.lives: list[Life] = []
         self.spells: list[Spell] = []
         self.watches: list[Watch] = []
-        self.begins: list[Begin] = []
+        self.attempts: list[Begin] = []
         self.asks: list[Ask] = []
         self.colds: list[Cold] = []
         self.lags: list[tuple[float, float]] = []   # when the test's own loop came late, and by how much
@@ -227,7 +227,7 @@
         last: dict[str, list[tuple[int, Change]]] = defaultdict(list)
         for number, change in enumerate(self.changes):
             last[change.host].append((number, change))
-        for begin in self.begins:
+        for begin in self.attempts:
             at_host = [(number, change) for number, change in last[begin.host] if change.at <= begin.at]
             if not at_host or at_host[-1][1].ready:
                 continue
@@ -249,7 +249,7 @@
                        f"told at {told[key]:.3f}: {late:.3f} past the grace")
 
     def _lost(self) -> Iterable[str]:
-        begun = {begin.rid for begin in self.begins}
+        begun = {begin.rid for begin in self.attempts}
         for ask in self.asks:
             life = self._life(ask.gateway, ask.at)
             if life is None or ask.answered < inf or ask.left < inf:
@@ -278,14 +278,14 @@
 
     def _gone(self) -> Iterable[str]:
         left = {ask.rid: ask.left for ask in self.asks if ask.left < inf}
-        for begin in self.begins:
+        for begin in self.attempts:
             if begin.at > left.get(begin.rid, inf) + GONE + self._late(begin.at):
                 yield (f"{begin.at:.3f} {begin.rid} from {begin.gateway}: {begin.at - left[begin.rid]:.3f} "
                        "after its client left")
 
     def _deadlines(self) -> Iterable[str]:
         asks = {ask.rid: ask for ask in self.asks}
-        for begin in self.begins:
+        for begin in self.attempts:
             ask = asks.get(begin.rid)
             if ask is not None and begin.told_ms:
                 over = begin.told_ms / 1000 - (ask.at + ask.patience - begin.at)
@@ -309,7 +309,7 @@
     def _duplicates(self) -> Iterable[str]:
         asks = {ask.rid: ask for ask in self.asks}
         seen: dict[str, list[Begin]] = defaultdict(list)
-        for begin in self.begins:
+        for begin in self.attempts:
             if begin.whole < inf:
                 seen[begin.rid].append(begin)
         for rid, begins in seen.items():
@@ -324,7 +324,7 @@
                 yield f"{begins[-1].whole:.3f} {rid}: begun {begins[-1].whole - ran[0].at:.3f} after the first"
 
     def _refusals(self) -> Iterable[str]:
-        ran = {begin.rid for begin in self.begins if begin.ran and begin.whole < inf}
+        ran = {begin.rid for begin in self.attempts if begin.ran and begin.whole < inf}
         for ask in self.asks:
             if ask.cls == "once" and ask.status in (429, 503) and ask.rid in ran:
                 yield f"{ask.at:.3f} {ask.rid}: refused though it ran"
@@ -332,7 +332,7 @@
     def _falls(self) -> Iterable[str]:
         terms = self.terms
         for cold in self.colds:
-            times = sorted(begin.at for begin in self.begins if begin.host == cold.host and begin.at >= cold.at)
+            times = sorted(begin.at for begin in self.attempts if begin.host == cold.host and begin.at >= cold.at)
             first = 0
             for last, at in enumerate(times):
                 while times[first] < at - terms.fall_within:
@@ -368,6 +368,6 @@
         """Counts for a report."""
         how = Counter(ask.status for ask in self.asks)
         return {"asked": len(self.asks), "served": how[200], "refused": how[503] + how[429], "failed": how[502],
-                "left": sum(ask.left < inf for ask in self.asks), "attempts": len(self.begins),
+                "left": sum(ask.left < inf for ask in self.asks), "attempts": len(self.attempts),
                 "held_writes": sum(map(len, self.held_writes.values())),
                 "lag": round(max((lag for _, lag in self.lags), default=0.0), 3)}
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -19,8 +19,8 @@
 from moleworks.children import die_with_parent
 
 from .addresses import free_address
-from .books import Books, Life
 from .hosts import Clock
+from .journal import Journal, Life
 
 ROOT = Path(__file__).resolve().parents[2]
 OPERATIONS = ("accept", "connect", "socket", "read", "write", "epoll", "fsync", "bind", "disk")
@@ -60,7 +60,7 @@
         """So many calls in 10,000 fail."""
         self._set(1 + 2 * OPERATIONS.index(operation), in_10000)
 
-    def next(self, operation: str, count: int) -> None:
+    def fail_next(self, operation: str, count: int) -> None:
         """The next calls fail."""
         self._set(2 + 2 * OPERATIONS.index(operation), count)
 
@@ -84,7 +84,7 @@
 class GatewayProcess:
     """One name: its configuration, its process now, and its entry in the books."""
 
-    def __init__(self, name: str, folder: Path, config: dict[str, Any], books: Books, clock: Clock,
+    def __init__(self, name: str, folder: Path, config: dict[str, Any], books: Journal, clock: Clock,
                  shim: Path | None, root: Path = ROOT) -> None:
         self.name = name
         self._folder = folder
@@ -139,14 +139,14 @@
         code = await process.wait()
         life.end = self._clock()
         if life.term == inf and not life.killed:
-            life.died = f"ended by itself with {code}: {self.last_words()}"
+            life.died = f"ended by itself with {code}: {self.last_log_line()}"
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The last line of its log."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else ""
 
-    async def ready(self, within: float = STARTS_S) -> bool:
+    async def wait_ready(self, within: float = STARTS_S) -> bool:
         """Wait until it takes clients."""
         try:
             async with asyncio.timeout(within):
--- a/tests/soak/play.py
+++ b/tests/soak/runner.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 from typing import Any
 
-from .books import Books, Cold, Spell, Terms
 from .clients import Client, Front
 from .discovery import Discovery, Door
 from .hosts import Host
+from .journal import Cold, Journal, Spell, Terms
 from .plan import AFTER_TERM_S, ALL, LONGEST_S, Fault, Plan
 from .processes import ROOT, GatewayProcess, build_shim, temporary_folder
 
@@ -34,12 +34,12 @@
 
 
 @dataclass
-class Played:
+class SoakResult:
     """What came of a play."""
 
     broken: dict[str, list[str]]
     figures: dict[str, float]
-    books: Books
+    journal: Journal
     began: float = 0.0   # by the wall clock of the gateways' logs, Unix time
 
 
@@ -60,17 +60,17 @@
                                  "late-value": 0.3, **cls} for cls in classes]}
 
 
-class Play:
+class SoakRun:
     """One play."""
 
     def __init__(self, plan: Plan, folder: Path, shim: Path | None, root: Path = ROOT) -> None:
         self.plan = plan
         self._rng = random.Random(plan.seed ^ 0x50A4)
         self._begun = time.monotonic()
-        self.books = Books(Terms(plan.pushed, plan.grace, WINDOW_S,
-                                 unread=any(fault.kind == "crowd" for fault in plan.faults)))
+        self.journal = Journal(Terms(plan.pushed, plan.grace, WINDOW_S,
+                                     unread=any(fault.kind == "crowd" for fault in plan.faults)))
         names = [f"n{number}" for number in range(plan.gateways)]
-        self.hosts = {f"h{number}": Host(f"h{number}", self.books, self.clock, self._rng, WORK_S)
+        self.hosts = {f"h{number}": Host(f"h{number}", self.journal, self.clock, self._rng, WORK_S)
                       for number in range(plan.hosts)}
         self._names, self._folder, self._shim, self._root = names, folder, shim, root
         self.gateways: dict[str, GatewayProcess] = {}
@@ -86,9 +86,9 @@
         """Seconds since the start of the play."""
         return time.monotonic() - self._begun
 
-    async def run(self) -> Played:
+    async def run(self) -> SoakResult:
         """Play it whole."""
-        async with self.parts():
+        async with self.environment():
             await self._start()
             lag = asyncio.create_task(self._watch_lag())
             await self._faults()
@@ -97,17 +97,17 @@
             await asyncio.gather(*self._clients, return_exceptions=True)
             await asyncio.gather(*self._tasks, return_exceptions=True)
             lag.cancel()
-            self.books.held_writes = {name: [at - self._begun for at in gateway.control.held_writes()]
-                                      for name, gateway in self.gateways.items()}
-            return Played(self.books.verdict(), self.books.figures() | {"calls": self.discovery.calls}, self.books,
-                          time.time() - self.clock())
+            self.journal.held_writes = {name: [at - self._begun for at in gateway.control.held_writes()]
+                                        for name, gateway in self.gateways.items()}
+            return SoakResult(self.journal.verdict(), self.journal.figures() | {"calls": self.discovery.calls},
+                              self.journal, time.time() - self.clock())
 
     @asynccontextmanager
-    async def parts(self) -> AsyncIterator[None]:
+    async def environment(self) -> AsyncIterator[None]:
         """Hosts, discovery and the gateways' folders; no gateway runs yet, and none does afterwards."""
         for host in self.hosts.values():
             await host.listen(self._names)
-        self.discovery = Discovery(self.books, self.clock, self.hosts, self._names)
+        self.discovery = Discovery(self.journal, self.clock, self.hosts, self._names)
         self._prepare()
         try:
             yield
@@ -130,7 +130,7 @@
             if plan.kept:
                 config["list_folder"] = str(self._folder / name / "lists")
             self._door[name] = 0
-            self.gateways[name] = GatewayProcess(name, self._folder / name, config, self.books, self.clock,
+            self.gateways[name] = GatewayProcess(name, self._folder / name, config, self.journal, self.clock,
                                                  self._shim, self._root)
             (self._folder / name / "lists").mkdir()   # the platform gives the folder; a list is kept in no other
             self.fronts[name] = Front(name, self.gateways[name].address, patience=plan.patience)
@@ -139,23 +139,23 @@
         plan = self.plan
         await asyncio.gather(*(self._launch(name) for name in self._names))
         self._begun = time.monotonic()
-        for life in self.books.lives:   # the play begins now
+        for life in self.journal.lives:   # the play begins now
             life.start = 0.0
             life.written = [(0.0, generation) for _, generation in life.written]
-        for watch in self.books.watches:
+        for watch in self.journal.watches:
             watch.begin, watch.end = 0.0, min(watch.end, 0.0) if watch.end < inf else inf
         for name, front in self.fronts.items():
             for number in range(plan.clients):
-                client = Client(front, self.books, self.clock, self._rng, plan.pause, plan.leaves, f"{name}.{number}")
+                client = Client(front, self.journal, self.clock, self._rng, plan.pause, plan.leaves, f"{name}.{number}")
                 self._clients.append(asyncio.create_task(client.run()))
 
     async def _launch(self, name: str) -> None:
         gateway = self.gateways[name]
         await gateway.start()
-        if await gateway.ready():
+        if await gateway.wait_ready():
             self.fronts[name].takes = True
         elif gateway.life is not None and not gateway.life.died:
-            gateway.life.died = f"not ready in time: {gateway.last_words()}"
+            gateway.life.died = f"not ready in time: {gateway.last_log_line()}"
 
     async def _watch_lag(self) -> None:
         while True:
@@ -163,7 +163,7 @@
             await asyncio.sleep(0.01)
             lag = self.clock() - begun - 0.01
             if lag > LAG_S:
-                self.books.lags.append((self.clock(), lag))
+                self.journal.lags.append((self.clock(), lag))
 
     # ---- Faults ------------------------------------------------------------------------------------------
 
@@ -196,8 +196,8 @@
         host = self.hosts[name]
         host.reset_all()
         host.started_ms = time.time_ns() // 1_000_000 + int(self._wall_step_s * 1000)
-        self.books.colds = [cold for cold in self.books.colds if cold.host != name]
-        self.books.colds.append(Cold(name, self.clock(), COLD_CAPACITY))
+        self.journal.colds = [cold for cold in self.journal.colds if cold.host != name]
+        self.journal.colds.append(Cold(name, self.clock(), COLD_CAPACITY))
         self.discovery.change(name, "in_service")
 
     async def _at_a_host(self, fault: Fault) -> None:
@@ -401,12 +401,12 @@
         await self._crowd_comes(name, int(fault.size))
 
 
-async def play(plan: Plan, shim: Path | None, root: Path = ROOT, keep: Path | None = None) -> Played:
+async def run_plan(plan: Plan, shim: Path | None, root: Path = ROOT, keep: Path | None = None) -> SoakResult:
     """Play a plan in a folder of its own; `keep` gets the gateways' logs."""
     with temporary_folder() as name:
         folder = Path(name)
         try:
-            return await Play(plan, folder, shim, root).run()
+            return await SoakRun(plan, folder, shim, root).run()
         finally:
             if keep is not None:
                 keep.mkdir(parents=True, exist_ok=True)
@@ -415,4 +415,4 @@
                         (keep / f"{log.parent.name}.log").write_bytes(log.read_bytes())
 
 
-__all__ = ["Play", "Played", "build_shim", "play", "settings"]
+__all__ = ["SoakResult", "SoakRun", "build_shim", "run_plan", "settings"]
--- a/tests/test_incident_27.py
+++ b/tests/test_incident_27.py
@@ -1,6 +1,6 @@
 """Incident 27 on real processes: what the gateway does with a change that it could know of.
 
-Each play has one kind of fault; the rules are judged from hosts, discovery and clients alone (`tests/soak/books.py`).
+Each play has one kind of fault; the rules are judged from hosts, discovery and clients alone (`tests/soak/journal.py`).
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from gateway.timers import Timers
 from gateway.update_parser import UpdateParser
 from tests.soak.plan import Fault, Plan
-from tests.soak.play import Play, Played, build_shim, play
+from tests.soak.runner import SoakResult, SoakRun, build_shim, run_plan
 
 
 @pytest.fixture(scope="session")
@@ -33,11 +33,11 @@
     return build_shim(tmp_path_factory.mktemp("shim"))
 
 
-def played(shim: Path, faults: list[Fault], *, seed: int = 1, pushed: bool = True, **more: Any) -> Played:
+def played(shim: Path, faults: list[Fault], *, seed: int = 1, pushed: bool = True, **more: Any) -> SoakResult:
     """A play of one gateway, four hosts and forty clients, with a grace of 1 s."""
     given: dict[str, Any] = {"gateways": 1, "hosts": 4, "clients": 40, "pause": 0.03, "grace": 1.0, "patience": 1.0,
                              "leaves": 0.0, "lasts": max(fault.at + fault.lasts for fault in faults) + 2.5}
-    result: Played = uvloop.run(play(Plan(seed=seed, pushed=pushed, faults=faults, **(given | more)), shim))
+    result: SoakResult = uvloop.run(run_plan(Plan(seed=seed, pushed=pushed, faults=faults, **(given | more)), shim))
     return result
 
 
@@ -66,7 +66,7 @@
 
 def test_after_a_stop_hosts_are_used_as_before(shim: Path) -> None:
     faults = [Fault(3.0 + 5.0 * number, "stop", "n0", 2.5) for number in range(4)]
-    books = played(shim, faults).books
+    books = played(shim, faults).journal
     for fault in faults:
         again = fault.at + fault.lasts + 1.0
         before, after = books.served(fault.at - 1.0, fault.at), books.served(again, again + 1.0)
@@ -77,12 +77,12 @@
 
 def test_a_start_meets_ten_failing_calls_and_is_ready(shim: Path, tmp_path: Path) -> None:
     async def scene(operation: str, pushed: bool) -> None:
-        stage = Play(Plan(1, 1, 2, 1, 1.0, pushed, 0.3, 1.0, 0.0), tmp_path / f"{operation}-{pushed}", shim)
-        async with stage.parts():
+        stage = SoakRun(Plan(1, 1, 2, 1, 1.0, pushed, 0.3, 1.0, 0.0), tmp_path / f"{operation}-{pushed}", shim)
+        async with stage.environment():
             gateway = stage.gateways["n0"]
-            gateway.control.next(operation, 10)
+            gateway.control.fail_next(operation, 10)
             await gateway.start()
-            assert await gateway.ready(), gateway.last_words()
+            assert await gateway.wait_ready(), gateway.last_log_line()
             await gateway.close()
     for operation in ("socket", "bind", "connect", "accept", "epoll", "disk"):
         uvloop.run(scene(operation, operation == "connect"))
@@ -94,7 +94,7 @@
     for steps in everywhere + here:
         result = played(shim, [*steps, Fault(4.0, "cold", "h0"), Fault(6.0, "cold", "h0")], lasts=9.0)
         assert result.broken == {}, steps
-        served = [begin.at for begin in result.books.begins if begin.host == "h0"]
+        served = [begin.at for begin in result.journal.attempts if begin.host == "h0"]
         assert max(served) > 8.0, (steps, "it gets nothing for an hour")
 
 
--- a/tests/test_incident_30.py
+++ b/tests/test_incident_30.py
@@ -23,9 +23,9 @@
 import pytest
 import uvloop
 
-from tests.soak.books import Books
+from tests.soak.journal import Journal
 from tests.soak.plan import CallPlan, Fault, Plan
-from tests.soak.play import build_shim, play
+from tests.soak.runner import build_shim, run_plan
 
 SILENT_AT = 4.0
 LASTS = 15.5
@@ -61,7 +61,7 @@
     return build_shim(tmp_path_factory.mktemp("shim"))
 
 
-def played(shim: Path, pushed: bool, grace: float, keep: Path) -> tuple[Counter[str], Books]:
+def played(shim: Path, pushed: bool, grace: float, keep: Path) -> tuple[Counter[str], Journal]:
     """One play of all orders, a gateway for each: the late requests by order, and the books."""
     names = {f"n{number}": order for number, order in enumerate(ORDERS)}
     faults = [Fault(SILENT_AT, "silent", "*", size=1), Fault(SILENT_AT + 0.05, "drain", "h0")]
@@ -73,10 +73,10 @@
     faults.sort(key=lambda fault: fault.at)
     plan = Plan(seed=30, gateways=len(names), hosts=4, clients=10, pause=0.08, pushed=pushed, grace=grace, patience=1.0,
                 leaves=0.0, lasts=LASTS, told_gateways=1, faults=faults)
-    result = uvloop.run(play(plan, shim, keep=keep))
+    result = uvloop.run(run_plan(plan, shim, keep=keep))
     assert set(result.broken) <= {"drain"}, result.broken
     senders = [case.split(" from ")[1].split(" ")[0] for case in result.broken.get("drain", [])]
-    return Counter(names[sender] for sender in senders), result.books
+    return Counter(names[sender] for sender in senders), result.journal
 
 
 def test_nothing_is_sent_by_a_list_that_has_outlived_its_time(shim: Path, tmp_path: Path) -> None:
@@ -107,7 +107,7 @@
     faults.sort(key=lambda fault: fault.at)
     plan = Plan(seed=31, gateways=len(RESTARTS), hosts=4, clients=10, pause=0.08, pushed=pushed, grace=0.3,
                 patience=1.0, leaves=0.0, lasts=14.0, told_gateways=1, faults=faults)
-    assert uvloop.run(play(plan, shim, keep=tmp_path)).broken == {}
+    assert uvloop.run(run_plan(plan, shim, keep=tmp_path)).broken == {}
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -118,10 +118,10 @@
     faults += [Fault(3.05, "reset", f"n{number}") for number in range(len(kinds))]
     plan = Plan(seed=32, gateways=len(kinds), hosts=4, clients=10, pause=0.05, pushed=pushed, grace=0.3,
                 patience=1.0, leaves=0.0, lasts=14.0, told_gateways=1, faults=faults)
-    result = uvloop.run(play(plan, shim, keep=tmp_path))
+    result = uvloop.run(run_plan(plan, shim, keep=tmp_path))
     assert result.broken == {}
     for number, kind in enumerate(kinds):
-        asked = [ask for ask in result.books.asks if ask.gateway == f"n{number}" and 3.0 < ask.at < 12.5]
+        asked = [ask for ask in result.journal.asks if ask.gateway == f"n{number}" and 3.0 < ask.at < 12.5]
         served = sum(ask.status == 200 for ask in asked)
         assert served >= 0.99 * len(asked) > 0, (kind, served, len(asked))
 
@@ -142,7 +142,7 @@
     faults.sort(key=lambda fault: fault.at)
     plan = Plan(seed=33, gateways=1, hosts=4, clients=40, pause=0.04, pushed=True, grace=0.5, patience=0.4, leaves=0.0,
                 lasts=15.5, faults=faults)
-    assert uvloop.run(play(plan, shim, keep=tmp_path)).broken == {}
+    assert uvloop.run(run_plan(plan, shim, keep=tmp_path)).broken == {}
 
 
 def test_what_discovery_has_counts_four_seconds_after_sighup_whatever_a_watch_said_before(
@@ -165,10 +165,10 @@
     for pushed in (False, True):
         plan = Plan(seed=34, gateways=4, hosts=4, clients=20, pause=0.05, pushed=pushed, grace=0.3, patience=1.0,
                     leaves=0.0, lasts=24.0, told_gateways=1, faults=faults)
-        result = uvloop.run(play(plan, shim, keep=tmp_path))
+        result = uvloop.run(run_plan(plan, shim, keep=tmp_path))
         assert result.broken == {}, pushed
         for number in range(2):   # those whose calls do not wait serve all the time
-            asked = [ask for ask in result.books.asks if ask.gateway == f"n{number}"]
+            asked = [ask for ask in result.journal.asks if ask.gateway == f"n{number}"]
             served = sum(ask.status == 200 for ask in asked)
             assert served >= 0.97 * len(asked) > 0, (pushed, number, served, len(asked))
 
@@ -187,6 +187,6 @@
               Fault(9.0, "busy", "*", 6.0)]
     plan = Plan(seed=36, gateways=2, hosts=4, clients=20, pause=0.05, pushed=False, grace=0.3, patience=1.0,
                 leaves=0.0, lasts=17.0, told_gateways=1, faults=faults)
-    result = uvloop.run(play(plan, shim, keep=tmp_path))
+    result = uvloop.run(run_plan(plan, shim, keep=tmp_path))
     assert result.broken == {}
-    assert result.books.served(15.5, 17.0) > 100, "it does not serve again"
+    assert result.journal.served(15.5, 17.0) > 100, "it does not serve again"
--- a/tests/test_incident_33.py
+++ b/tests/test_incident_33.py
@@ -8,9 +8,9 @@
 import pytest
 import uvloop
 
-from tests.soak.books import Books
+from tests.soak.journal import Journal
 from tests.soak.plan import CallPlan, Fault, Plan, draw
-from tests.soak.play import build_shim, play
+from tests.soak.runner import build_shim, run_plan
 
 STRIKES_AT = 4.0
 TURNED_AWAY_FOR = 40.0
@@ -26,7 +26,7 @@
     return build_shim(tmp_path_factory.mktemp("shim"))
 
 
-def played(shim: Path, keep: Path, lasts: float, scenes: dict[str, list[Fault]]) -> tuple[Counter[str], Books]:
+def played(shim: Path, keep: Path, lasts: float, scenes: dict[str, list[Fault]]) -> tuple[Counter[str], Journal]:
     """One play, a gateway for each scene: the late requests by scene, and the books."""
     names = {f"n{number}": scene for number, scene in enumerate(scenes)}
     faults = [Fault(STRIKES_AT + 0.05, "drain", "h0")]
@@ -35,13 +35,13 @@
     faults.sort(key=lambda fault: fault.at)
     plan = Plan(seed=33, gateways=len(names), hosts=4, clients=10, pause=0.06, pushed=False, grace=0.3, patience=1.0,
                 leaves=0.0, lasts=lasts, told_gateways=1, faults=faults)
-    result = uvloop.run(play(plan, shim, keep=keep))
+    result = uvloop.run(run_plan(plan, shim, keep=keep))
     assert set(result.broken) <= {"drain"}, result.broken
     senders = [case.split(" from ")[1].split(" ")[0] for case in result.broken.get("drain", [])]
-    return Counter(names[sender] for sender in senders), result.books
+    return Counter(names[sender] for sender in senders), result.journal
 
 
-def assert_none_is_late_and_all_serve_again(late: Counter[str], books: Books, lasts: float) -> None:
+def assert_none_is_late_and_all_serve_again(late: Counter[str], books: Journal, lasts: float) -> None:
     """No request was late, and each gateway serves at the end."""
     assert not late, late
     for life in books.lives:
@@ -91,4 +91,4 @@
 
 def test_a_service_that_went_down_after_a_start_had_changes_for_the_new_process(shim: Path, tmp_path: Path) -> None:
     plan = draw(8123)
-    assert uvloop.run(play(plan, shim, keep=tmp_path)).broken == {}
+    assert uvloop.run(run_plan(plan, shim, keep=tmp_path)).broken == {}
--- a/tests/test_lifecycle_faults.py
+++ b/tests/test_lifecycle_faults.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from tests.soak.plan import Fault, Plan
-from tests.soak.play import Play, build_shim, play
+from tests.soak.runner import SoakRun, build_shim, run_plan
 
 ROUNDS = 16
 WAITING = 20
@@ -32,11 +32,11 @@
     faults += [Fault(3.9, "host_hang", "*", 3.0) for _ in range(12)]   # each on a host drawn at random
     plan = Plan(seed=35, gateways=1, hosts=4, clients=40, pause=0.05, pushed=False, grace=0.3, patience=1.0,
                 leaves=0.0, lasts=8.0, faults=faults)
-    result = uvloop.run(play(plan, shim, keep=tmp_path))
+    result = uvloop.run(run_plan(plan, shim, keep=tmp_path))
     assert result.broken == {}
 
 
-async def _answered(stage: Play, number: int) -> bool:
+async def _answered(stage: SoakRun, number: int) -> bool:
     """Whether a request on a new connection that waits to be accepted is answered."""
     reader, writer = await asyncio.open_connection(*stage.gateways["n0"].address)
     try:
@@ -58,17 +58,17 @@
     Evidence: 20 of 20 unanswered in each round in which the error was one of those two.
     """
     async def scene() -> list[int]:
-        stage = Play(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", shim)
+        stage = SoakRun(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", shim)
         unanswered = []
-        async with stage.parts():
+        async with stage.environment():
             gateway = stage.gateways["n0"]
             await gateway.start()
-            assert await gateway.ready(), gateway.last_words()
+            assert await gateway.wait_ready(), gateway.last_log_line()
             for number in range(ROUNDS):
                 gateway.signal(signal.SIGSTOP)
                 asks = [asyncio.create_task(_answered(stage, number * WAITING + at)) for at in range(WAITING)]
                 await asyncio.sleep(0.05)
-                gateway.control.next("accept", 1)
+                gateway.control.fail_next("accept", 1)
                 gateway.signal(signal.SIGCONT)
                 unanswered.append(WAITING - sum(await asyncio.gather(*asks)))
             await gateway.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,10 +13,10 @@
 import pytest
 import uvloop
 
-from tests.soak.books import Ask, Begin, Books, Change, Cold, Life, Spell, Terms, Watch
+from tests.soak.journal import Ask, Begin, Change, Cold, Journal, Life, Spell, Terms, Watch
 from tests.soak.plan import CallPlan, Fault, Plan, draw
-from tests.soak.play import Play, build_shim, play
 from tests.soak.processes import ROOT
+from tests.soak.runner import SoakRun, build_shim, run_plan
 
 SEEDS = (101, 102, 103, 104)
 LASTS_S = 10.0
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_under_faults(shim: Path, seed: int) -> None:
     plan = draw(seed, LASTS_S)
-    broken = uvloop.run(play(plan, shim)).broken
+    broken = uvloop.run(run_plan(plan, shim)).broken
     assert broken == {}, json.dumps(plan.record())
 
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("seed", RED_ONCE)
 def test_a_play_that_broke_a_rule_breaks_none(shim: Path, seed: int) -> None:
     plan = draw(seed)
-    broken = uvloop.run(play(plan, shim)).broken
+    broken = uvloop.run(run_plan(plan, shim)).broken
     assert broken == {}, json.dumps(plan.record())
 
 
@@ -55,12 +55,12 @@
     Evidence: with the very next such write failing, SIGHUP ends the process each time, in uv_async_send.
     """
     async def scene() -> None:
-        stage = Play(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", shim)
-        async with stage.parts():
+        stage = SoakRun(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", shim)
+        async with stage.environment():
             gateway = stage.gateways["n0"]
             await gateway.start()
-            assert await gateway.ready(), gateway.last_words()
-            gateway.control.next("disk", 100)
+            assert await gateway.wait_ready(), gateway.last_log_line()
+            gateway.control.fail_next("disk", 100)
             gateway.signal(signal.SIGHUP)
             await asyncio.sleep(0.5)
             assert gateway.life is not None and not gateway.life.died, gateway.log.read_text()[-2000:]
@@ -75,15 +75,15 @@
         assert plan == draw(seed) == Plan.read(json.loads(json.dumps(plan.record())))
 
 
-def books(pushed: bool = False) -> Books:
+def books(pushed: bool = False) -> Journal:
     """One gateway that lives from 0 on, a host that drains at 5, told at once."""
-    kept = Books(Terms(pushed, grace=0.3, window=3.0))
+    kept = Journal(Terms(pushed, grace=0.3, window=3.0))
     kept.lives.append(Life("n0", 0.0, written=[(0.0, 1), (5.0, 2)]))
     kept.changes.append(Change(5.0, 2, "h0", False))
     return kept
 
 
-def ask(kept: Books, rid: str = "r", at: float = 1.0, cls: str = "read", **more: float) -> Ask:
+def ask(kept: Journal, rid: str = "r", at: float = 1.0, cls: str = "read", **more: float) -> Ask:
     asked = Ask(at, "n0", rid, cls, 1.0, answered=at + 0.1, status=200, by=rid)
     for name, value in more.items():
         setattr(asked, name, value)
@@ -91,8 +91,8 @@
     return asked
 
 
-def begin(kept: Books, rid: str = "r", at: float = 1.05, host: str = "h1", told_ms: int = 900) -> None:
-    kept.begins.append(Begin(at, "n0", host, rid, told_ms, at))
+def begin(kept: Journal, rid: str = "r", at: float = 1.05, host: str = "h1", told_ms: int = 900) -> None:
+    kept.attempts.append(Begin(at, "n0", host, rid, told_ms, at))
 
 
 def test_the_judge_finds_nothing_where_all_is_well() -> None:
@@ -227,7 +227,7 @@
         faults += [Fault(at + 0.3, "drain", f"h{number}"), Fault(at + 2.7, "ready", f"h{number}")]
     pushed = NO_READ_AHEAD not in changes   # pushed, sends would wait for a list: a safeguard of its own
     plan = Plan(1, 1, 4, 40, 0.03, pushed, 0.3, 1.0, 0.0, 11.0, faults=faults)
-    assert rule in uvloop.run(play(plan, shim, root)).broken
+    assert rule in uvloop.run(run_plan(plan, shim, root)).broken
 
 
 @pytest.mark.parametrize(("changes", "calls"), [
@@ -240,4 +240,4 @@
     root = without(tmp_path, *changes)
     faults = [Fault(3.5, "order", "n0", calls=calls), Fault(4.0, "silent", "n0", size=1), Fault(4.05, "drain", "h0")]
     plan = Plan(1, 1, 4, 40, 0.03, False, 0.3, 1.0, 0.0, 13.0, faults=faults)
-    assert "drain" in uvloop.run(play(plan, shim, root)).broken
+    assert "drain" in uvloop.run(run_plan(plan, shim, root)).broken
--- a/tests/test_soak_crowded.py
+++ b/tests/test_soak_crowded.py
@@ -12,11 +12,11 @@
 import pytest
 import uvloop
 
-from tests.soak.books import Spell
 from tests.soak.crowds import CROWD_LEAST_S, draw_crowded
 from tests.soak.discovery import MOST_WAIT_S, Discovery, Turns
+from tests.soak.journal import Spell
 from tests.soak.plan import ALL, Fault, Plan
-from tests.soak.play import Play, build_shim, play
+from tests.soak.runner import SoakRun, build_shim, run_plan
 
 SEEDS = (33011, 33022, 34915)
 LASTS_S = 15.0
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_rule_is_broken_in_a_crowd_that_lasts(shim: Path, seed: int) -> None:
     plan = draw_crowded(seed, LASTS_S)
-    broken = uvloop.run(play(plan, shim)).broken
+    broken = uvloop.run(run_plan(plan, shim)).broken
     assert broken == {}, json.dumps(plan.record())
 
 
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("seed", RED)
 def test_a_change_whose_line_waits_counts_six_seconds_after_the_loss_before_the_watch(shim: Path, seed: int) -> None:
     plan = draw_crowded(seed)
-    broken = uvloop.run(play(plan, shim)).broken
+    broken = uvloop.run(run_plan(plan, shim)).broken
     assert broken == {}, json.dumps(plan.record())
 
 
@@ -86,8 +86,8 @@
 
 async def lines_of_a_watch(tmp_path: Path, capacity: float, before: int, seconds: float) -> tuple[list[bytes], bool]:
     """What a watch tells after a change that has so many callers before it, and whether it has ended by itself."""
-    stage = Play(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", None)
-    async with stage.parts():
+    stage = SoakRun(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", None)
+    async with stage.environment():
         discovery: Discovery = stage.discovery
         host, _, port = discovery.doors["n0"][0].address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -124,10 +124,10 @@
 
 def test_only_an_open_watch_falls_silent_and_an_outage_ends_its_silence(tmp_path: Path) -> None:
     async def scene() -> list[Spell]:
-        stage = Play(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", None)
-        async with stage.parts():
+        stage = SoakRun(Plan(1, 1, 2, 1, 1.0, False, 0.3, 1.0, 0.0), tmp_path / "play", None)
+        async with stage.environment():
             await stage._watch_silent("n0", Fault(0.0, "watch_silent", "n0"))   # none is open
-            assert stage.books.spells == []
+            assert stage.journal.spells == []
             host, _, port = stage.discovery.doors["n0"][0].address.partition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /registry/instances?watch=1&from=1 HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -137,7 +137,7 @@
             with suppress(ConnectionResetError):
                 await asyncio.wait_for(reader.read(), NO_LONGER_S)   # it has ended
             writer.close()
-        return stage.books.spells
+        return stage.journal.spells
     silent, away = uvloop.run(scene())
     assert (silent.kind, away.kind) == ("silent", "away")
     assert silent.begin <= silent.end <= away.begin + NO_LONGER_S < away.end + NO_LONGER_S < inf
