--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from .crowds import draw_crowded
+from .overload import draw_crowded
 from .plan import LASTS_S, Plan, draw
 from .processes import ROOT
 from .runner import build_shim, run_plan
--- a/tests/test_soak_crowded.py
+++ b/tests/test_soak_crowded.py
@@ -12,9 +12,9 @@
 import pytest
 import uvloop
 
-from tests.soak.crowds import CROWD_LEAST_S, draw_crowded
 from tests.soak.discovery import MOST_WAIT_S, Discovery, Turns
 from tests.soak.journal import Spell
+from tests.soak.overload import CROWD_LEAST_S, draw_crowded
 from tests.soak.plan import ALL, Fault, Plan
 from tests.soak.runner import SoakRun, build_shim, run_plan
 
