--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,5 +1,5 @@
-"""Fault injection on real gateway processes: drawn from a seed, judged from outside.
+"""Fault injection on real gateway processes: the faults are drawn from a seed, and behaviour is judged from outside.
 
-Hosts, discovery and clients run in the test's process, gateways as children started as in service, some with the shim
-of `shim.c` preloaded.  `journal.py` keeps what was seen and judges it; it shares no code with the gateway.
+Hosts, discovery and clients run in the test's process, gateways as child processes started as in production, some with
+the shim of `shim.c` preloaded.  `journal.py` records and judges the observations; it shares no code with the gateway.
 """
--- a/tests/soak/addresses.py
+++ b/tests/soak/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of loopback for the parts of a play."""
+"""Loopback addresses for the parts of a soak run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def free_address() -> tuple[str, int]:
-    """An address of loopback that nobody else uses: its own, so that no port drawn for a client can be the same."""
+    """An unused loopback address; each has an IP address of its own, so that no ephemeral client port can collide."""
     number = next(_numbers)
     return f"127.{100 + os.getpid() % 100}.{1 + number // 200 % 250}.{1 + number % 200}", PORT
 
--- a/tests/soak/hosts.py
+++ b/tests/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of a play: each listens once for each gateway, so that it is known who sends."""
+"""Hosts of a soak run: each has one listener per gateway, so that the sender of a request is known."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import cast
 
 from .addresses import free_address
-from .journal import Begin, Journal
+from .journal import Attempt, Journal
 
 Clock = Callable[[], float]
 
@@ -20,7 +20,7 @@
         self._host = host
         self._gateway = gateway
         self._data = b""
-        self._begin: Begin | None = None
+        self._attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -32,39 +32,39 @@
 
     def data_received(self, data: bytes) -> None:
         host = self._host
-        if self._begin is None:
-            self._begin = Begin(host.clock(), self._gateway, host.name, "")
-            host.journal.attempts.append(self._begin)
+        if self._attempt is None:
+            self._attempt = Attempt(host.clock(), self._gateway, host.name, "")
+            host.journal.attempts.append(self._attempt)
         self._data += data
-        head, found, rest = self._data.partition(b"\r\n\r\n")
+        head, found, body_part = self._data.partition(b"\r\n\r\n")
         if not found:
             return
         headers = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
-        if len(rest) < int(headers.get(b"content-length", b"0")):
+        if len(body_part) < int(headers.get(b"content-length", b"0")):
             return
-        begin, self._begin, self._data = self._begin, None, b""
-        begin.rid = headers[b"x-request-id"].decode()
-        begin.told_ms = int(headers.get(b"x-timeout-ms", b"0"))
-        begin.whole = host.clock()
-        host.take(self, begin)
+        attempt, self._attempt, self._data = self._attempt, None, b""
+        attempt.request_id = headers[b"x-request-id"].decode()
+        attempt.timeout_ms = int(headers.get(b"x-timeout-ms", b"0"))
+        attempt.whole = host.clock()
+        host.handle_request(self, attempt)
 
 
 class Host:
-    """One host: answers after a while, unless a fault is in force."""
+    """One host: responds after a random processing time unless a fault is active."""
 
-    def __init__(self, name: str, books: Journal, clock: Clock, rng: random.Random, work: float) -> None:
-        self.name, self.journal, self.clock = name, books, clock
+    def __init__(self, name: str, journal: Journal, clock: Clock, rng: random.Random, mean_work_s: float) -> None:
+        self.name, self.journal, self.clock = name, journal, clock
         self._rng = rng
-        self._work = work
+        self._mean_work_s = mean_work_s
         self.hanging = False
-        self.refusing = False      # turns all away, as one that drains may
+        self.refusing = False      # rejects all requests, as a draining host may
         self.started_ms = 0
         self.connections: set[Connection] = set()
         self.addresses: dict[str, str] = {}
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, gateways: list[str]) -> None:
-        """Take connections of each gateway."""
+        """Listen for connections of each gateway."""
         loop = asyncio.get_running_loop()
         for gateway in gateways:
             address, port = free_address()
@@ -73,16 +73,16 @@
             self._servers.append(server)
             self.addresses[gateway] = f"{address}:{port}"
 
-    def take(self, connection: Connection, begin: Begin) -> None:
-        """A whole request has come."""
+    def handle_request(self, connection: Connection, attempt: Attempt) -> None:
+        """Handle a request that has arrived completely."""
         if self.refusing:
-            begin.ran = False
+            attempt.processed = False
             self._write(connection, b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
         elif not self.hanging:
-            delay = min(self._rng.expovariate(1 / self._work), 10 * self._work)
-            body = begin.rid.encode()
-            answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-            asyncio.get_running_loop().call_later(delay, self._write, connection, answer)
+            delay = min(self._rng.expovariate(1 / self._mean_work_s), 10 * self._mean_work_s)
+            body = attempt.request_id.encode()
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+            asyncio.get_running_loop().call_later(delay, self._write, connection, response)
 
     @staticmethod
     def _write(connection: Connection, data: bytes) -> None:
@@ -90,13 +90,13 @@
             connection.transport.write(data)
 
     def reset_all(self) -> None:
-        """Every connection is reset."""
+        """Reset all connections."""
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.abort()
 
     def close(self) -> None:
-        """It ends."""
+        """Stop listening and reset all connections."""
         for server in self._servers:
             server.close()
         self.reset_all()
--- a/tests/soak/journal.py
+++ b/tests/soak/journal.py
@@ -1,6 +1,6 @@
-"""What hosts, discovery and clients saw of a play, and the rules judged from that alone.
+"""The journal of a soak run: what hosts, discovery and clients observed, and the rules judged from that alone.
 
-Times are seconds since the start of the play.
+Times are seconds since the start of the run.
 """
 
 from __future__ import annotations
@@ -10,28 +10,29 @@
 from dataclasses import dataclass, field
 from math import inf, sqrt
 
-SLACK = 0.05
-"""Each time limit grows by so much on sockets (the protocol page)."""
-LATE_ANSWER = 0.5
-"""Up to so long after its time an answer earns nothing; later, the request is lost."""
-GONE = 0.1
-"""An attempt that begins so long after its client has left is a lost request."""
-DEADLINE_SLACK = 0.15
-TOLD = 6.0
-"""Discovery's change counts as told so long after it had it and could be reached."""
-TOLD_RELOAD = 4.0
-"""And so long after SIGHUP."""
-TERM_TAKES = 0.7
-"""A request that comes later than this after SIGTERM has to be answered before SIGKILL."""
-NOTED = 0.01
-"""A host reads a write so soon after it, or before it is noted."""
-WAY = 0.02
-"""What a message may take through the test's own loop."""
+TIME_LIMIT_SLACK_S = 0.05
+"""Allowance that the protocol page adds to each time limit where requests travel over sockets."""
+LATE_RESPONSE_S = 0.5
+"""A response that is late by up to this much has no value; after that the request counts as lost."""
+DISCONNECT_SLACK_S = 0.1
+"""An attempt that begins later than this after its client has disconnected breaks the rule "gone"."""
+DEADLINE_SLACK_S = 0.15
+"""The timeout sent to a host may exceed the time that the client has left by this much."""
+PROPAGATION_BOUND_S = 6.0
+"""A change takes effect at the latest this long after discovery had it and was reachable."""
+RELOAD_PROPAGATION_BOUND_S = 4.0
+"""The same bound after SIGHUP."""
+LATE_AFTER_SIGTERM_S = 0.7
+"""A request that arrives later than this after SIGTERM must be answered before SIGKILL."""
+WRITE_MATCH_TOLERANCE_S = 0.01
+"""Largest difference between the time at which a stalled write is recorded and the time at which a host reads it."""
+LOOP_DELAY_S = 0.02
+"""Time that a message may take through the test's own event loop."""
 
 
 @dataclass
-class Change:
-    """Discovery has learned a new state of a host."""
+class HostChange:
+    """A state of a host that discovery has learned."""
 
     at: float
     generation: int
@@ -40,7 +41,7 @@
 
 
 @dataclass
-class Life:
+class ProcessLifetime:
     """One gateway process, from its start to its end."""
 
     gateway: str
@@ -48,16 +49,16 @@
     end: float = inf
     ready: float = inf
     term: float = inf
-    killed: bool = False   # outright, not after SIGTERM
+    killed: bool = False   # by SIGKILL without a SIGTERM before
     reloads: list[float] = field(default_factory=list)
     stops: list[tuple[float, float]] = field(default_factory=list)
-    written: list[tuple[float, int]] = field(default_factory=list)   # when lists of which generation left discovery
-    died: str = ""         # why it ended by itself
+    written: list[tuple[float, int]] = field(default_factory=list)   # when discovery sent a list, and its generation
+    exit_reason: str = ""  # why it ended by itself
 
 
 @dataclass
-class Spell:
-    """A stretch in which a gateway can't reach discovery (`away`), or its open watch is silent."""
+class Outage:
+    """An interval in which a gateway can't reach discovery (`away`), or in which its open watch is silent."""
 
     gateway: str
     kind: str
@@ -75,43 +76,43 @@
 
 
 @dataclass
-class Begin:
-    """A request at a host: its first byte, and its last where that has come."""
+class Attempt:
+    """A request that reached a host: when its first byte arrived, and its last one (`whole`) if it did."""
 
     at: float
     gateway: str
     host: str
-    rid: str
-    told_ms: int = 0
+    request_id: str
+    timeout_ms: int = 0
     whole: float = inf
-    ran: bool = True
+    processed: bool = True
 
 
 @dataclass
-class Ask:
+class ClientRequest:
     """A request of a client."""
 
     at: float
     gateway: str
-    rid: str
+    request_id: str
     cls: str
     patience: float
     left: float = inf       # the client closed its connection
     answered: float = inf
     status: int = 0
-    by: str = ""            # whose answer it is, by its body
-    closed: float = inf     # the gateway closed the connection without a whole answer
+    by: str = ""            # ID of the request to which the response belongs, from its body
+    closed: float = inf     # the gateway closed the connection without a complete response
     first: bool = False     # it was the first on its connection
 
 
 @dataclass(frozen=True)
-class Terms:
-    """What the settings of the play allow."""
+class RunSettings:
+    """The settings of the run on which the rules depend."""
 
     pushed: bool
     grace: float
     window: float
-    unread: bool = False    # new connections may be shut unread: idle clients fill the descriptors
+    unread: bool = False    # new connections may be closed unread, as idle clients use up the descriptors
     cold_share: float = 0.12
     warm_within: float = 24.0
     fall_multiple: float = 3.0
@@ -119,8 +120,8 @@
 
 
 @dataclass
-class Cold:
-    """A host that has started: its capacity, in requests a second, grows from there."""
+class HostStart:
+    """A start of a host: its capacity, in requests per second, grows from that time on."""
 
     host: str
     at: float
@@ -128,246 +129,262 @@
 
 
 class Journal:
-    """All that was seen in one play."""
+    """All observations of one run."""
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
-        self.changes: list[Change] = []
-        self.lives: list[Life] = []
-        self.spells: list[Spell] = []
+    def __init__(self, settings: RunSettings) -> None:
+        self.settings = settings
+        self.changes: list[HostChange] = []
+        self.lifetimes: list[ProcessLifetime] = []
+        self.outages: list[Outage] = []
         self.watches: list[Watch] = []
-        self.attempts: list[Begin] = []
-        self.asks: list[Ask] = []
-        self.colds: list[Cold] = []
-        self.lags: list[tuple[float, float]] = []   # when the test's own loop came late, and by how much
-        self.held_writes: dict[str, list[float]] = {}   # by gateway: with a stop since its last look at a clock
+        self.attempts: list[Attempt] = []
+        self.requests: list[ClientRequest] = []
+        self.host_starts: list[HostStart] = []
+        self.loop_lags: list[tuple[float, float]] = []   # when the test's own event loop was late, and by how much
+        self.stalled_writes: dict[str, list[float]] = {}   # by gateway: writes with a stall since the clock was read
 
     # ---- Judging -----------------------------------------------------------------------------------------
 
     def verdict(self) -> dict[str, list[str]]:
-        """The broken rules, each with its cases."""
-        broken: dict[str, list[str]] = defaultdict(list)
-        for rule, cases in (("drain", self._drains()), ("lost", self._lost()), ("gone", self._gone()),
-                            ("deadline", self._deadlines()), ("duplicate", self._duplicates()),
-                            ("refusal", self._refusals()), ("failback", self._falls()), ("crash", self._crashes())):
+        """The violated rules, each with its cases."""
+        violations: dict[str, list[str]] = defaultdict(list)
+        for rule, cases in (("drain", self._requests_to_draining_hosts()), ("lost", self._lost_requests()),
+                            ("gone", self._attempts_after_disconnect()), ("deadline", self._excessive_timeouts()),
+                            ("duplicate", self._duplicate_runs()), ("refusal", self._refused_after_processing()),
+                            ("failback", self._cold_host_overloads()), ("crash", self._crashes())):
             for case in cases:
-                broken[rule].append(case)
-        return dict(broken)
-
-    def _late(self, at: float) -> float:
-        """How late what was seen at this time may have been noted, by the test's own loop."""
-        return WAY + max((lag for end, lag in self.lags if end - lag - 0.1 <= at <= end + 0.1), default=0.0)
-
-    def _life(self, gateway: str, at: float) -> Life | None:
-        for life in reversed(self.lives):
-            if life.gateway == gateway and life.start <= at < life.end:
-                return life
+                violations[rule].append(case)
+        return dict(violations)
+
+    def _observation_delay(self, at: float) -> float:
+        """How late an event of this time may have been recorded because the test's own event loop lagged."""
+        return LOOP_DELAY_S + max((lag for end, lag in self.loop_lags if end - lag - 0.1 <= at <= end + 0.1),
+                                  default=0.0)
+
+    def _lifetime_at(self, gateway: str, at: float) -> ProcessLifetime | None:
+        for lifetime in reversed(self.lifetimes):
+            if lifetime.gateway == gateway and lifetime.start <= at < lifetime.end:
+                return lifetime
         return None
 
     def reachable(self, gateway: str, since: float) -> float:
-        """The first moment from then on at which the gateway can reach discovery."""
+        """The earliest time, not before `since`, at which the gateway can reach discovery."""
         moved = True
         while moved:
             moved = False
-            for spell in self.spells:
-                if spell.gateway == gateway and spell.kind == "away" and spell.begin <= since < spell.end:
-                    since, moved = spell.end, True
+            for outage in self.outages:
+                if outage.gateway == gateway and outage.kind == "away" and outage.begin <= since < outage.end:
+                    since, moved = outage.end, True
         return since
 
-    def told(self, life: Life, change: Change) -> float:
-        """When a change counts as told to a process."""
-        times = [at for at, generation in life.written if generation >= change.generation and at >= change.at][:1]
-        reach = self.reachable(life.gateway, max(change.at, life.start))
-        times.append(reach + TOLD)
-        silent = [spell for spell in self.spells if spell.gateway == life.gateway and spell.kind == "silent"
-                  and spell.begin <= reach < spell.end]
+    def takes_effect_at(self, lifetime: ProcessLifetime, change: HostChange) -> float:
+        """When a change takes effect for a process, whether or not it received it."""
+        times = [at for at, generation in lifetime.written if generation >= change.generation and at >= change.at][:1]
+        reachable_at = self.reachable(lifetime.gateway, max(change.at, lifetime.start))
+        times.append(reachable_at + PROPAGATION_BOUND_S)
+        silent = [outage for outage in self.outages if outage.gateway == lifetime.gateway and outage.kind == "silent"
+                  and outage.begin <= reachable_at < outage.end]
         if silent:
-            times.append(max(reach, silent[0].begin + TOLD))
-        elif self.terms.pushed:
-            times.append(reach)
+            times.append(max(reachable_at, silent[0].begin + PROPAGATION_BOUND_S))
+        elif self.settings.pushed:
+            times.append(reachable_at)
         else:
-            times += [max(change.at, at) for at in self._all_counts_at(life.gateway, change.at) if change.at <= at]
-            if (since := self._without_watch(life.gateway, change.at)) is not None:
-                times.append(max(change.at, self._six_seconds_on(life.gateway, since)))
-        times += [max(reach, reload + TOLD_RELOAD) for reload in life.reloads if reach <= reload + TOLD_RELOAD]
+            times += [max(change.at, at) for at in self._everything_effective_at(lifetime.gateway, change.at)
+                      if change.at <= at]
+            if (since := self._without_watch_since(lifetime.gateway, change.at)) is not None:
+                times.append(max(change.at, self._bound_after(lifetime.gateway, since)))
+        times += [max(reachable_at, reload + RELOAD_PROPAGATION_BOUND_S) for reload in lifetime.reloads
+                  if reachable_at <= reload + RELOAD_PROPAGATION_BOUND_S]
         return min(times)
 
-    def _six_seconds_on(self, gateway: str, since: float) -> float:
-        """When TOLD has passed from then on; counted anew where discovery goes meanwhile and comes back."""
+    def _bound_after(self, gateway: str, since: float) -> float:
+        """`since` plus the propagation bound; the bound starts again if discovery becomes unreachable and returns."""
         since = self.reachable(gateway, since)
-        for spell in sorted(self.spells, key=lambda spell: spell.begin):
-            if spell.gateway == gateway and spell.kind == "away" and since <= spell.begin < since + TOLD:
-                since = self.reachable(gateway, spell.begin)
-        return since + TOLD
+        for outage in sorted(self.outages, key=lambda outage: outage.begin):
+            if (outage.gateway == gateway and outage.kind == "away"
+                    and since <= outage.begin < since + PROPAGATION_BOUND_S):
+                since = self.reachable(gateway, outage.begin)
+        return since + PROPAGATION_BOUND_S
 
-    def _all_counts_at(self, gateway: str, by: float) -> list[float]:
-        """When all that discovery has by then counts: 6 s after each loss of a watch and each return.
+    def _everything_effective_at(self, gateway: str, by: float) -> list[float]:
+        """When all changes that discovery has by then take effect: 6 s after each loss of a watch and each return.
 
-        A watch that is open again meanwhile changes nothing of it: its lines may wait for their turn while its empty
-        lines come, and it may end instead of telling them.
+        A watch that has been opened again meanwhile does not alter this: its updates may be queued while its heartbeats
+        arrive, and it may end without sending them.
         """
         losses = [watch.end for watch in self.watches if watch.gateway == gateway and watch.end <= by]
-        returns = [spell.end for spell in self.spells
-                   if spell.gateway == gateway and spell.kind == "away" and spell.end <= by]
-        return [self._six_seconds_on(gateway, since) for since in losses + returns]
+        returns = [outage.end for outage in self.outages
+                   if outage.gateway == gateway and outage.kind == "away" and outage.end <= by]
+        return [self._bound_after(gateway, since) for since in losses + returns]
 
-    def _without_watch(self, gateway: str, at: float) -> float | None:
-        """Since when a gateway has had no watch at this time, whatever became of its process; None where one is open.
+    def _without_watch_since(self, gateway: str, at: float) -> float | None:
+        """Since when a gateway has had no watch at this time, across restarts of its process; None if one is open.
 
-        All that discovery has counts 6 s after that, or after its return, and not 6 s after each change: so it was
-        counted in the recorded plays, also for processes that had started meanwhile.
+        All changes that discovery has take effect 6 s after that, or after its return, and not 6 s after each change.
+        The recorded runs were judged in this way, also for processes that had started meanwhile.
         """
         watches = [watch for watch in self.watches if watch.gateway == gateway and watch.begin <= at]
         if any(at < watch.end for watch in watches):
             return None
         return max((watch.end for watch in watches), default=0.0)
 
-    def _drains(self) -> Iterable[str]:
-        told: dict[tuple[int, int], float] = {}
-        last: dict[str, list[tuple[int, Change]]] = defaultdict(list)
+    def _requests_to_draining_hosts(self) -> Iterable[str]:
+        effective_at: dict[tuple[int, int], float] = {}
+        changes_by_host: dict[str, list[tuple[int, HostChange]]] = defaultdict(list)
         for number, change in enumerate(self.changes):
-            last[change.host].append((number, change))
-        for begin in self.attempts:
-            at_host = [(number, change) for number, change in last[begin.host] if change.at <= begin.at]
+            changes_by_host[change.host].append((number, change))
+        for attempt in self.attempts:
+            at_host = [(number, change) for number, change in changes_by_host[attempt.host] if change.at <= attempt.at]
             if not at_host or at_host[-1][1].ready:
                 continue
-            barred: list[tuple[int, Change]] = []   # the states since it was last ready
+            unavailable: list[tuple[int, HostChange]] = []   # the host's states since it was last ready, newest first
             for entry in reversed(at_host):
                 if entry[1].ready:
                     break
-                barred.append(entry)
-            life = self._life(begin.gateway, begin.at)
-            if life is None:
+                unavailable.append(entry)
+            lifetime = self._lifetime_at(attempt.gateway, attempt.at)
+            if lifetime is None:
                 continue
-            number, change = barred[-1]
-            key = (id(life), number)
-            if key not in told:
-                told[key] = self.told(life, change)
-            late = begin.at - told[key] - self.terms.grace
-            if late > SLACK and late > self._late(begin.at):
-                yield (f"{begin.at:.3f} {begin.rid} from {begin.gateway} to {begin.host}, barred at {change.at:.3f}, "
-                       f"told at {told[key]:.3f}: {late:.3f} past the grace")
-
-    def _lost(self) -> Iterable[str]:
-        begun = {begin.rid for begin in self.attempts}
-        for ask in self.asks:
-            life = self._life(ask.gateway, ask.at)
-            if life is None or ask.answered < inf or ask.left < inf:
-                if ask.answered < inf and ask.status == 200 and ask.by != ask.rid:
-                    yield f"{ask.at:.3f} {ask.rid} got the answer of {ask.by!r}"
-                if ask.answered == inf or life is None:
+            number, change = unavailable[-1]
+            key = (id(lifetime), number)
+            if key not in effective_at:
+                effective_at[key] = self.takes_effect_at(lifetime, change)
+            delay = attempt.at - effective_at[key] - self.settings.grace
+            if delay > TIME_LIMIT_SLACK_S and delay > self._observation_delay(attempt.at):
+                yield (f"{attempt.at:.3f} {attempt.request_id} from {attempt.gateway} to {attempt.host}, "
+                       f"draining at {change.at:.3f}, effective at {effective_at[key]:.3f}: {delay:.3f} past the grace")
+
+    def _lost_requests(self) -> Iterable[str]:
+        reached_host = {attempt.request_id for attempt in self.attempts}
+        for request in self.requests:
+            lifetime = self._lifetime_at(request.gateway, request.at)
+            if lifetime is None or request.answered < inf or request.left < inf:
+                if request.answered < inf and request.status == 200 and request.by != request.request_id:
+                    yield f"{request.at:.3f} {request.request_id} got the response of {request.by!r}"
+                if request.answered == inf or lifetime is None:
                     continue
-            due = ask.at + ask.patience
-            for begin, end in life.stops:
-                if begin <= due and ask.at <= end:
+            due = request.at + request.patience
+            for begin, end in lifetime.stops:
+                if begin <= due and request.at <= end:
                     due = max(due, end)
-            due += LATE_ANSWER + SLACK
-            if ask.answered < inf:
-                if ask.answered > due:
-                    yield f"{ask.at:.3f} {ask.rid} of {ask.gateway} answered {ask.answered - due:.3f} too late"
+            due += LATE_RESPONSE_S + TIME_LIMIT_SLACK_S
+            if request.answered < inf:
+                if request.answered > due:
+                    yield (f"{request.at:.3f} {request.request_id} of {request.gateway} "
+                           f"answered {request.answered - due:.3f} too late")
                 continue
-            if life.end <= due and (life.killed or ask.at <= life.term):
+            if lifetime.end <= due and (lifetime.killed or request.at <= lifetime.term):
                 continue
-            if ask.closed < life.end:
-                if self.terms.unread and ask.first and ask.rid not in begun:
+            if request.closed < lifetime.end:
+                if self.settings.unread and request.first and request.request_id not in reached_host:
                     continue
-                yield f"{ask.at:.3f} {ask.rid} of {ask.gateway} closed without an answer at {ask.closed:.3f}"
-            elif due < life.end or (ask.at > life.term + TERM_TAKES and life.end < inf):
-                yield (f"{ask.at:.3f} {ask.rid} of {ask.gateway} never answered "
-                       f"(SIGTERM {life.term:.3f}, end {life.end:.3f})")
-
-    def _gone(self) -> Iterable[str]:
-        left = {ask.rid: ask.left for ask in self.asks if ask.left < inf}
-        for begin in self.attempts:
-            if begin.at > left.get(begin.rid, inf) + GONE + self._late(begin.at):
-                yield (f"{begin.at:.3f} {begin.rid} from {begin.gateway}: {begin.at - left[begin.rid]:.3f} "
-                       "after its client left")
-
-    def _deadlines(self) -> Iterable[str]:
-        asks = {ask.rid: ask for ask in self.asks}
-        for begin in self.attempts:
-            ask = asks.get(begin.rid)
-            if ask is not None and begin.told_ms:
-                over = begin.told_ms / 1000 - (ask.at + ask.patience - begin.at)
-                if over > DEADLINE_SLACK + self._late(ask.at) and not self._held(begin):
-                    yield (f"{begin.at:.3f} {begin.rid} from {begin.gateway}: told {over:.3f} more than its client has "
-                           f"({begin.told_ms} ms; asked at {ask.at:.4f} by one that waits {ask.patience}; "
-                           f"{self._stops_near(begin)}, writes held up at {self.held_writes.get(begin.gateway)})")
-
-    def _held(self, begin: Begin) -> bool:
-        """Whether the process stood still between its last look at the clock and this very write.
-
-        The slack covers 0.15 s of that; no program can know of a longer stop between the two.
+                yield (f"{request.at:.3f} {request.request_id} of {request.gateway} "
+                       f"closed without a response at {request.closed:.3f}")
+            elif due < lifetime.end or (request.at > lifetime.term + LATE_AFTER_SIGTERM_S and lifetime.end < inf):
+                yield (f"{request.at:.3f} {request.request_id} of {request.gateway} never answered "
+                       f"(SIGTERM {lifetime.term:.3f}, end {lifetime.end:.3f})")
+
+    def _attempts_after_disconnect(self) -> Iterable[str]:
+        left = {request.request_id: request.left for request in self.requests if request.left < inf}
+        for attempt in self.attempts:
+            if attempt.at > (left.get(attempt.request_id, inf) + DISCONNECT_SLACK_S
+                             + self._observation_delay(attempt.at)):
+                yield (f"{attempt.at:.3f} {attempt.request_id} from {attempt.gateway}: "
+                       f"{attempt.at - left[attempt.request_id]:.3f} after its client disconnected")
+
+    def _excessive_timeouts(self) -> Iterable[str]:
+        requests = {request.request_id: request for request in self.requests}
+        for attempt in self.attempts:
+            request = requests.get(attempt.request_id)
+            if request is not None and attempt.timeout_ms:
+                excess = attempt.timeout_ms / 1000 - (request.at + request.patience - attempt.at)
+                if (excess > DEADLINE_SLACK_S + self._observation_delay(request.at)
+                        and not self._stalled_before_write(attempt)):
+                    yield (f"{attempt.at:.3f} {attempt.request_id} from {attempt.gateway}: "
+                           f"timeout exceeds the client's time left by {excess:.3f} "
+                           f"({attempt.timeout_ms} ms; sent at {request.at:.4f} with a timeout of {request.patience}; "
+                           f"{self._describe_stops(attempt)}, stalled writes at "
+                           f"{self.stalled_writes.get(attempt.gateway)})")
+
+    def _stalled_before_write(self, attempt: Attempt) -> bool:
+        """Whether the process was stopped between its last read of the clock and this write.
+
+        The slack covers a stop of 0.15 s; no program can detect a longer one between the two.
         """
-        return any(abs(begin.at - at) <= NOTED for at in self.held_writes.get(begin.gateway, ()))
+        return any(abs(attempt.at - at) <= WRITE_MATCH_TOLERANCE_S
+                   for at in self.stalled_writes.get(attempt.gateway, ()))
 
-    def _stops_near(self, begin: Begin) -> str:
-        life = self._life(begin.gateway, begin.at)
-        stops = [stop for stop in life.stops if abs(stop[1] - begin.at) < 1.0] if life is not None else []
+    def _describe_stops(self, attempt: Attempt) -> str:
+        lifetime = self._lifetime_at(attempt.gateway, attempt.at)
+        stops = [stop for stop in lifetime.stops if abs(stop[1] - attempt.at) < 1.0] if lifetime is not None else []
         return "stopped " + (", ".join(f"from {at:.4f} to {end:.4f}" for at, end in stops) or "never")
 
-    def _duplicates(self) -> Iterable[str]:
-        asks = {ask.rid: ask for ask in self.asks}
-        seen: dict[str, list[Begin]] = defaultdict(list)
-        for begin in self.attempts:
-            if begin.whole < inf:
-                seen[begin.rid].append(begin)
-        for rid, begins in seen.items():
-            ask = asks.get(rid)
-            if ask is None:
-                yield f"{begins[0].at:.3f} {rid}: no client sent it"
+    def _duplicate_runs(self) -> Iterable[str]:
+        requests = {request.request_id: request for request in self.requests}
+        seen: dict[str, list[Attempt]] = defaultdict(list)
+        for attempt in self.attempts:
+            if attempt.whole < inf:
+                seen[attempt.request_id].append(attempt)
+        for request_id, attempts in seen.items():
+            request = requests.get(request_id)
+            if request is None:
+                yield f"{attempts[0].at:.3f} {request_id}: no client sent it"
                 continue
-            ran = [begin for begin in begins if begin.ran]
-            if ask.cls == "once" and len(ran) > 1:
-                yield f"{ran[1].at:.3f} {rid}: an unsafe request ran {len(ran)} times"
-            if ask.cls == "keyed" and ran and begins[-1].whole > ran[0].at + self.terms.window + SLACK:
-                yield f"{begins[-1].whole:.3f} {rid}: begun {begins[-1].whole - ran[0].at:.3f} after the first"
-
-    def _refusals(self) -> Iterable[str]:
-        ran = {begin.rid for begin in self.attempts if begin.ran and begin.whole < inf}
-        for ask in self.asks:
-            if ask.cls == "once" and ask.status in (429, 503) and ask.rid in ran:
-                yield f"{ask.at:.3f} {ask.rid}: refused though it ran"
-
-    def _falls(self) -> Iterable[str]:
-        terms = self.terms
-        for cold in self.colds:
-            times = sorted(begin.at for begin in self.attempts if begin.host == cold.host and begin.at >= cold.at)
+            processed = [attempt for attempt in attempts if attempt.processed]
+            if request.cls == "once" and len(processed) > 1:
+                yield f"{processed[1].at:.3f} {request_id}: an unsafe request ran {len(processed)} times"
+            if (request.cls == "keyed" and processed
+                    and attempts[-1].whole > processed[0].at + self.settings.window + TIME_LIMIT_SLACK_S):
+                yield (f"{attempts[-1].whole:.3f} {request_id}: "
+                       f"begun {attempts[-1].whole - processed[0].at:.3f} after the first")
+
+    def _refused_after_processing(self) -> Iterable[str]:
+        processed = {attempt.request_id for attempt in self.attempts if attempt.processed and attempt.whole < inf}
+        for request in self.requests:
+            if request.cls == "once" and request.status in (429, 503) and request.request_id in processed:
+                yield f"{request.at:.3f} {request.request_id}: refused although a host processed it"
+
+    def _cold_host_overloads(self) -> Iterable[str]:
+        settings = self.settings
+        for host_start in self.host_starts:
+            times = sorted(attempt.at for attempt in self.attempts
+                           if attempt.host == host_start.host and attempt.at >= host_start.at)
             first = 0
             for last, at in enumerate(times):
-                while times[first] < at - terms.fall_within:
+                while times[first] < at - settings.fall_within:
                     first += 1
-                age = (at - cold.at) / terms.warm_within
+                age = (at - host_start.at) / settings.warm_within
                 if age >= 1.0:
                     break
-                warmth = terms.cold_share + (1.0 - terms.cold_share) * age
-                allowed = terms.fall_multiple * warmth * cold.capacity * terms.fall_within
+                warm_share = settings.cold_share + (1.0 - settings.cold_share) * age
+                allowed = settings.fall_multiple * warm_share * host_start.capacity * settings.fall_within
                 budget = allowed + 2 * sqrt(allowed) + 2 if allowed >= 30 else allowed + 3 * sqrt(allowed) + 3
                 if last - first + 1 > budget:
-                    yield (f"{at:.3f} {cold.host}: {last - first + 1} requests in {terms.fall_within} s, "
-                           f"{at - cold.at:.2f} s after its start, {budget:.0f} allowed")
+                    yield (f"{at:.3f} {host_start.host}: {last - first + 1} requests in {settings.fall_within} s, "
+                           f"{at - host_start.at:.2f} s after its start, {budget:.0f} allowed")
                     break
 
     def _crashes(self) -> Iterable[str]:
-        for life in self.lives:
-            if life.died:
-                yield f"{life.end:.3f} {life.gateway}: {life.died}"
+        for lifetime in self.lifetimes:
+            if lifetime.exit_reason:
+                yield f"{lifetime.end:.3f} {lifetime.gateway}: {lifetime.exit_reason}"
 
     # ---- Figures -----------------------------------------------------------------------------------------
 
     def served(self, begin: float, end: float) -> int:
-        """Requests served in this stretch."""
-        return sum(begin <= ask.answered < end and ask.status == 200 for ask in self.asks)
+        """The number of requests served in this interval."""
+        return sum(begin <= request.answered < end and request.status == 200 for request in self.requests)
 
     def in_time(self, begin: float, end: float, within: float) -> float:
-        """Share of the requests asked in this stretch that a host has answered so soon, seconds."""
-        asked = [ask for ask in self.asks if begin <= ask.at < end]
-        return sum(ask.status == 200 and ask.answered - ask.at <= within for ask in asked) / max(1, len(asked))
+        """The share of the requests sent in this interval that were served within `within` seconds."""
+        requests = [request for request in self.requests if begin <= request.at < end]
+        return (sum(request.status == 200 and request.answered - request.at <= within for request in requests)
+                / max(1, len(requests)))
 
     def figures(self) -> dict[str, float]:
-        """Counts for a report."""
-        how = Counter(ask.status for ask in self.asks)
-        return {"asked": len(self.asks), "served": how[200], "refused": how[503] + how[429], "failed": how[502],
-                "left": sum(ask.left < inf for ask in self.asks), "attempts": len(self.attempts),
-                "held_writes": sum(map(len, self.held_writes.values())),
-                "lag": round(max((lag for _, lag in self.lags), default=0.0), 3)}
+        """The counts for a report."""
+        statuses = Counter(request.status for request in self.requests)
+        return {"asked": len(self.requests), "served": statuses[200], "refused": statuses[503] + statuses[429],
+                "failed": statuses[502], "left": sum(request.left < inf for request in self.requests),
+                "attempts": len(self.attempts), "held_writes": sum(map(len, self.stalled_writes.values())),
+                "lag": round(max((lag for _, lag in self.loop_lags), default=0.0), 3)}
