--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,4 +1,4 @@
-"""Two events that cross: each scene forces the bad order, with sockets held in hand (docs/races.md)."""
+"""Races between two events: each test forces the harmful order with sockets that it controls (docs/races.md)."""
 
 from __future__ import annotations
 
@@ -21,37 +21,42 @@
 from tests.test_process import COMMAND, ROOT, connect, launch, write_config
 from tests.test_upstream import HEAD, Bench, all_silent, in_hand, silent_listener
 
-# ---- Repeats ------------------------------------------------------------------------------------------------
+# ---- Second attempts ----------------------------------------------------------------------------------------
 
 
-def a_copy(within: int, body: bytes = b"") -> tuple[Attempt, asyncio.Future[Outcome]]:
-    """A second attempt that has to be written whole within this time, and its outcome."""
+def second_attempt(write_within_ns: int, body: bytes = b"") -> tuple[Attempt, asyncio.Future[Outcome]]:
+    """Return a second attempt, which must be written completely within this time, and its outcome."""
     ended: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
     now = now_ns()
     return Attempt("h0", 1, (HEAD, body), now, now + 9 * SECOND, lambda _, outcome, __: ended.set_result(outcome),
-                   begin_by=now + within), ended
+                   begin_by=now + write_within_ns), ended
 
 
-@pytest.mark.parametrize("within", [200 * MS, 0])
-def test_a_copy_whose_connection_comes_up_after_the_window_for_repeats_is_not_written(within: int) -> None:
+@pytest.mark.parametrize("write_within_ns", [200 * MS, 0])
+def test_second_attempt_is_not_written_if_its_connection_is_established_too_late(write_within_ns: int) -> None:
+    """A slow connect must not delay a second attempt beyond its write deadline: the request could then run twice."""
     async def scene() -> None:
         bench = Bench()
-        bench.upstream.on_settings(9 * SECOND, 15 * SECOND)   # the connection itself has all the time it wants
+        bench.upstream.on_settings(9 * SECOND, 15 * SECOND)   # the connect itself may take 9 s
         listener, fill, address = silent_listener()
         with listener:
             bench.tell(address)
-            attempt, ended = a_copy(within)
+            attempt, ended = second_attempt(write_within_ns)
             bench.upstream.start(attempt)
             assert await ended is Outcome.MOOT
             await all_silent(listener, fill)
     play(scene)
 
 
-def test_a_copy_that_a_slow_host_has_not_taken_whole_by_the_end_of_the_window_never_ran() -> None:
+def test_second_attempt_that_a_slow_host_does_not_read_in_time_is_abandoned() -> None:
+    """The host stops reading in the middle of the body.
+
+    If the last byte were written after the write deadline, the host could run the request a second time.
+    """
     async def scene() -> None:
         bench, loop = Bench(), asyncio.get_running_loop()
         with in_hand(bench) as listener:
-            attempt, ended = a_copy(200 * MS, b"x" * 20_000_000)
+            attempt, ended = second_attempt(200 * MS, b"x" * 20_000_000)
             bench.upstream.start(attempt)
             conn, _ = await loop.sock_accept(listener)
             with conn:
@@ -62,8 +67,12 @@
 # ---- Idle connections to hosts ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("left", [b"", OK])
-def test_an_idle_connection_on_which_an_end_or_bytes_wait_unread_is_not_chosen(left: bytes) -> None:
+@pytest.mark.parametrize("unread", [b"", OK])
+def test_idle_connection_with_an_unread_eof_or_unread_bytes_is_not_reused(unread: bytes) -> None:
+    """An EOF or a stray response has arrived on an idle connection, but the gateway has not read it yet.
+
+    A request sent there would be lost, or would get the stray response.
+    """
     async def scene() -> None:
         bench, loop = Bench(), asyncio.get_running_loop()
         with in_hand(bench) as listener:
@@ -74,8 +83,8 @@
                 first.send(OK)
                 assert (await result)[0] is Outcome.OK
                 await rested()
-                first.send(left) if left else first.shutdown(socket.SHUT_WR)
-                _, result = bench.start()   # before the loop has turned: nobody has read it
+                first.send(unread) if unread else first.shutdown(socket.SHUT_WR)
+                _, result = bench.start()   # in the same event-loop iteration: not read by the gateway yet
                 second, _ = await loop.sock_accept(listener)
                 with second:
                     assert await loop.sock_recv(second, 1000)
@@ -85,8 +94,12 @@
     play(scene)
 
 
-@pytest.mark.parametrize("crossing", ["answer", "end", "drain", "cancel"])
-def test_a_second_answer_or_an_end_that_crosses_the_next_request_costs_the_connection_alone(crossing: str) -> None:
+@pytest.mark.parametrize("event", ["answer", "end", "drain", "cancel"])
+def test_event_on_a_connection_before_its_next_request_is_written_loses_only_the_connection(event: str) -> None:
+    """A second response, an EOF, a drain or a cancellation arrives while the next request waits for the reuse delay.
+
+    The request must not be written to that connection: it would be lost, or would get the wrong response.
+    """
     async def scene() -> None:
         bench, loop = Bench(), asyncio.get_running_loop()
         with in_hand(bench) as listener:
@@ -97,14 +110,14 @@
                 first.send(OK)
                 assert (await result)[0] is Outcome.OK
                 attempt, result = bench.start()
-                if crossing == "drain":
+                if event == "drain":
                     bench.tell(f"127.0.0.1:{listener.getsockname()[1]}", HostState.DRAINING)
                     assert (await result)[0] is Outcome.CONNECT_FAILED
-                elif crossing == "cancel":
+                elif event == "cancel":
                     bench.upstream.cancel(attempt)
                     assert (await result)[0] is Outcome.CANCELLED
                 else:
-                    first.send(OK) if crossing == "answer" else first.shutdown(socket.SHUT_WR)
+                    first.send(OK) if event == "answer" else first.shutdown(socket.SHUT_WR)
                     second, _ = await loop.sock_accept(listener)
                     with second:
                         assert await loop.sock_recv(second, 1000)
@@ -115,24 +128,25 @@
     play(scene)
 
 
-def test_a_connection_past_its_hosts_idle_time_is_not_chosen_before_the_sweep() -> None:
+def test_connection_past_its_idle_timeout_is_not_reused_before_the_next_sweep() -> None:
+    """Sweeps close idle connections with a delay; the host may close its side first, and a request would be lost."""
     async def scene() -> None:
         bench, host = Bench(), await FakeHost().start()
-        bench.upstream.on_settings(SECOND, 100 * MS)   # shorter than the time between two sweeps
+        bench.upstream.on_settings(SECOND, 100 * MS)   # an idle timeout shorter than the interval of the sweeps
         bench.tell(host.address)
         assert (await bench.start()[1])[0] is Outcome.OK
-        since = now_ns()
-        await until(lambda: now_ns() - since > 100 * MS)
+        idle_since = now_ns()
+        await until(lambda: now_ns() - idle_since > 100 * MS)
         assert (await bench.start()[1])[0] is Outcome.OK
         assert host.connections == 2
     play(scene)
 
 
-# ---- Clients that leave -------------------------------------------------------------------------------------
+# ---- Clients that disconnect --------------------------------------------------------------------------------
 
 
-def leave(writer: asyncio.StreamWriter, how: str) -> None:
-    """A client goes: it ends its sending, or resets the connection."""
+def disconnect(writer: asyncio.StreamWriter, how: str) -> None:
+    """Shut down the client's sending side, or reset its connection."""
     if how == "end":
         writer.write_eof()
     else:
@@ -142,8 +156,12 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize("lines", [1, 7, 12, 40])
-def test_a_client_that_leaves_while_its_requests_wait_has_none_of_them_sent_on(lines: int, how: str) -> None:
+@pytest.mark.parametrize("request_count", [1, 7, 12, 40])
+def test_waiting_requests_of_a_client_that_disconnects_are_not_sent(request_count: int, how: str) -> None:
+    """Pipelined requests wait for a host; their client disconnects, then discovery lists a host.
+
+    The requests must be dropped, also if the disconnect follows requests that the gateway has not read yet.
+    """
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -151,12 +169,12 @@
             first, writer = await stage.discovery.calls.get()
             assert "watch=1" in first
             client = await stage.client()
-            client.send(b"".join(request(rid=f"r{number}") for number in range(lines)))
-            await until(lambda: stage.gateway.server.pending == lines)   # no host: they wait
-            left = now_ns()
-            leave(client.writer, how)
+            client.send(b"".join(request(rid=f"r{number}") for number in range(request_count)))
+            await until(lambda: stage.gateway.server.pending == request_count)   # no host: the requests wait
+            disconnected_at = now_ns()
+            disconnect(client.writer, how)
             await until(lambda: stage.gateway.server.pending == 0)
-            assert now_ns() - left < SECOND   # the module would hold them for three
+            assert now_ns() - disconnected_at < SECOND   # the decision module would let them wait for 3 s
             FakeDiscovery.head(writer)
             FakeDiscovery.line(writer, 42, [host.row()])
             other = await stage.client()
@@ -166,20 +184,22 @@
     play(scene)
 
 
-def test_more_requests_in_line_behind_an_end_are_answered_and_none_is_sent() -> None:
+def test_all_pipelined_requests_before_an_eof_are_answered_and_none_is_sent() -> None:
+    """The EOF follows more requests than one read returns: requests parsed later must get a response, too."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(rows=[])
             client = await stage.client()
-            many = 900   # more than one read brings
-            client.send(b"".join(request(rid=f"r{number}") for number in range(many)))
+            request_count = 900   # more than one read returns
+            client.send(b"".join(request(rid=f"r{number}") for number in range(request_count)))
             client.writer.write_eof()
-            for _ in range(many):   # it may only have ended its sending: nobody is left without an answer
+            for _ in range(request_count):   # the client may only have half-closed, and still read
                 assert (await client.answer())[0] == 502
     play(scene)
 
 
-def test_a_connection_that_comes_up_after_the_client_has_left_carries_nothing() -> None:
+def test_nothing_is_written_to_a_connection_established_after_the_client_disconnected() -> None:
+    """The client sends an EOF while the connect to the host is pending: the request must not run without a reader."""
     async def scene() -> None:
         async with Stage() as stage:
             listener, fill, address = silent_listener()
@@ -197,8 +217,12 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-@pytest.mark.parametrize("lines", [1, 12])
-def test_nothing_is_begun_later_than_a_tenth_of_a_second_after_its_client_has_gone(lines: int, how: str) -> None:
+@pytest.mark.parametrize("request_count", [1, 12])
+def test_no_attempt_is_in_flight_100_ms_after_its_client_disconnected(request_count: int, how: str) -> None:
+    """The connect to the host is pending when the client disconnects.
+
+    With 12 pipelined requests the gateway has paused reading, and detects the disconnect only by polling the socket.
+    """
     async def scene() -> None:
         async with Stage() as stage:
             listener, _, address = silent_listener()
@@ -206,25 +230,25 @@
                 host = FakeHost()
                 host.address = address
                 await stage.begin(rows=[host.row()], caps={**SETTINGS["caps"], "dial-timeout-ns": 9 * SECOND})
-                took = []
-                for attempt in range(5):   # the least counts: a machine that is busy is no fault of the gateway
+                elapsed_ns = []
+                for attempt in range(5):   # the shortest time counts: a busy machine causes longer ones
                     client = await stage.client()
-                    client.send(b"".join(request(rid=f"r{attempt}-{number}") for number in range(lines)))
-                    await until(lambda: stage.gateway.server.pending == lines)
-                    left = now_ns()
-                    leave(client.writer, how)
-                    await until(lambda: not any(held.in_flight for held in stage.gateway.core.open_requests()))
-                    took.append(now_ns() - left)
+                    client.send(b"".join(request(rid=f"r{attempt}-{number}") for number in range(request_count)))
+                    await until(lambda: stage.gateway.server.pending == request_count)
+                    disconnected_at = now_ns()
+                    disconnect(client.writer, how)
+                    await until(lambda: not any(item.in_flight for item in stage.gateway.core.open_requests()))
+                    elapsed_ns.append(now_ns() - disconnected_at)
                     await until(lambda: stage.gateway.server.pending == 0)
-                assert min(took) < 100 * MS
+                assert min(elapsed_ns) < 100 * MS
     play(scene)
 
 
-# ---- Closes on the client's side ----------------------------------------------------------------------------
+# ---- Closing of client connections --------------------------------------------------------------------------
 
 
-async def crossing(stage: Stage, rid: str) -> socket.socket:
-    """A client whose first request is answered and whose next one is in the kernel, not yet read by the gateway."""
+async def client_with_unread_request(stage: Stage, rid: str) -> socket.socket:
+    """Return a client with one response read and its next request in the kernel, not yet read by the gateway."""
     loop = asyncio.get_running_loop()
     sock = socket.create_connection(stage.where)
     sock.setblocking(False)
@@ -234,27 +258,35 @@
     return sock
 
 
-@pytest.mark.parametrize("close", ["idle", "drain", "room"])
-def test_a_request_that_crosses_a_close_between_requests_is_read_and_answered(close: str) -> None:
+@pytest.mark.parametrize("reason", ["idle", "drain", "room"])
+def test_request_that_arrives_as_an_idle_connection_is_closed_is_answered(reason: str) -> None:
+    """The gateway closes an idle connection while its next request is in the kernel's receive buffer.
+
+    A close would reset the connection, and the client would not know whether the request ran.
+    """
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
             server = stage.gateway.server
-            with await crossing(stage, "r") as sock:
-                if close == "room":
+            with await client_with_unread_request(stage, "r") as sock:
+                if reason == "room":
                     server.max_connections = 1
                     server.add_connection(server.new_connection())
                 else:
-                    server.draining = close == "drain"
-                    server.sweep(now_ns() + (DRAIN_IDLE_TIMEOUT_NS if close == "drain" else IDLE_TIMEOUT_NS) + MS)
+                    server.draining = reason == "drain"
+                    server.sweep(now_ns() + (DRAIN_IDLE_TIMEOUT_NS if reason == "drain" else IDLE_TIMEOUT_NS) + MS)
                 assert (await asyncio.get_running_loop().sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200")
     play(scene)
 
 
-def test_a_connection_that_has_just_come_makes_no_room_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_connection_is_not_closed_in_favour_of_another(monkeypatch: pytest.MonkeyPatch) -> None:
+    """At the connection limit an idle connection is closed for a new one.
+
+    A connection that was accepted just before may have a request in transit: the newer one gets a 503 instead.
+    """
     async def scene() -> None:
         async with Stage() as stage:
-            monkeypatch.setattr("gateway.server.NEW_CONNECTION_GRACE_NS", 60 * SECOND)   # however slow this machine is
+            monkeypatch.setattr("gateway.server.NEW_CONNECTION_GRACE_NS", 60 * SECOND)   # also for a slow machine
             await stage.begin(FakeHost())
             stage.gateway.server.max_connections = 1
             first = await stage.client()
@@ -264,7 +296,8 @@
     play(scene)
 
 
-def test_a_request_that_comes_after_the_end_of_sending_is_not_sent_on() -> None:
+def test_request_received_after_the_gateway_half_closed_is_not_sent() -> None:
+    """The gateway has ended its sending side and can't respond any more: a later request must not reach a host."""
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
@@ -273,9 +306,9 @@
             assert (await client.ask(request()))[0] == 200
             await host.seen.get()
             stage.gateway.server.sweep(now_ns() + IDLE_TIMEOUT_NS + MS)
-            assert await client.reader.read() == b""   # the end, no reset
+            assert await client.reader.read() == b""   # EOF, not a reset
             client.send(request(rid="late"))
-            assert stage.gateway.server.connection_count == 1      # what comes is read, or the close would be a reset
+            assert stage.gateway.server.connection_count == 1      # it reads on: a close with unread data is a reset
             other = await stage.client()
             assert (await other.ask(request(rid="other")))[0] == 200
             assert (await host.seen.get()).headers["x-request-id"] == "other"
@@ -285,8 +318,9 @@
     play(scene)
 
 
-def test_a_drained_client_that_does_not_close_is_closed_without_waiting_for_a_sweep(
+def test_drained_connection_that_its_client_does_not_close_is_closed_without_a_sweep(
         monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connection that lingers until the next sweep would delay the end of the process."""
     async def scene() -> None:
         async with Stage() as stage:
             monkeypatch.setattr("gateway.program.SWEEP_INTERVAL_NS", 60 * SECOND)
@@ -297,14 +331,18 @@
                 await until(lambda: server.connection_count == 1)
                 server.draining = True
                 server.sweep(now_ns() + HEAD_TIMEOUT_NS + MS)
-                assert await asyncio.get_running_loop().sock_recv(sock, 100) == b""   # it has been told
-                since = now_ns()
-                await until(lambda: server.connection_count == 0)   # 4 s after a drain nothing may be held
-                assert now_ns() - since < LINGER_TIMEOUT_NS + 500 * MS
+                assert await asyncio.get_running_loop().sock_recv(sock, 100) == b""   # the client gets the EOF
+                eof_at = now_ns()
+                await until(lambda: server.connection_count == 0)   # nothing may be open 4 s after a drain
+                assert now_ns() - eof_at < LINGER_TIMEOUT_NS + 500 * MS
     play(scene)
 
 
-def test_a_peer_whose_noise_crosses_the_end_of_its_time_is_told_or_closed_all_the_same() -> None:
+def test_client_that_sends_only_an_empty_line_still_times_out() -> None:
+    """A sweep does not end a connection with unread bytes, because they may be a request.
+
+    Bytes that are no request must not extend the head timeout: the error response is due within 3 s.
+    """
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
@@ -312,7 +350,7 @@
                 await until(lambda: stage.gateway.server.connection_count == 1)
                 (conn,) = stage.gateway.server._connections
                 await until(lambda: now_ns() - conn.state_since > HEAD_TIMEOUT_NS)
-                sock.send(b"\r\n")   # no request yet, and not read as its time is found to be up
+                sock.send(b"\r\n")   # no request yet; unread when the sweep finds the timeout
                 stage.gateway.server.sweep(now_ns())
                 assert not conn.discarding
                 await until(lambda: conn.discarding)
@@ -320,14 +358,15 @@
     play(scene)
 
 
-def test_many_that_linger_give_their_descriptors_back() -> None:
+def test_number_of_lingering_connections_is_bounded() -> None:
+    """Clients that neither read the EOF nor close must not use up the gateway's descriptors."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
             server = stage.gateway.server
             server.max_connections = 4
             socks = []
-            for _ in range(80):   # they ask once, and neither read the end nor close
+            for _ in range(80):   # each sends one request, and neither reads the EOF nor closes
                 sock = socket.create_connection(stage.where)
                 sock.setblocking(False)
                 socks.append(sock)
@@ -340,13 +379,13 @@
     play(scene)
 
 
-# ---- The end of the program ---------------------------------------------------------------------------------
+# ---- Shutdown -----------------------------------------------------------------------------------------------
 
-SHORT = [{**item, "give-up-ns": 400_000_000, "slo-ns": 400_000_000} for item in SETTINGS["request-classes"]]
+SHORT_CLASSES = [{**item, "give-up-ns": 400_000_000, "slo-ns": 400_000_000} for item in SETTINGS["request-classes"]]
 
 
-def spawned(folder: Path) -> list[int]:
-    """The process that has this folder's configuration in its environment."""
+def find_processes(folder: Path) -> list[int]:
+    """Return the ids of the processes that have this folder's configuration in their environment."""
     wanted = f"EDGE_CONFIG={folder}/c".encode()
     found = []
     for entry in Path("/proc").iterdir():
@@ -354,66 +393,73 @@
             if entry.name.isdigit() and wanted in (entry / "environ").read_bytes().split(b"\0"):
                 found.append(int(entry.name))
         except OSError:
-            continue   # it has ended, or is somebody else's
+            continue   # the process has ended, or belongs to another user
     return found
 
 
-async def short(folder: Path, host: FakeHost) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-    """The program with a longest deadline that is shorter than a drained connection is left idle."""
+async def launch_with_short_deadlines(
+        folder: Path, host: FakeHost) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
+    """Start the program with a longest deadline that is shorter than the idle timeout of a drain."""
     config = write_config(folder / "c", await FakeDiscovery(tells=True).start(), await host.start())
-    (folder / "c").write_text(json.dumps({**config, "settings": {**SETTINGS, "request-classes": SHORT}}))
+    (folder / "c").write_text(json.dumps({**config, "settings": {**SETTINGS, "request-classes": SHORT_CLASSES}}))
     return await launch(folder / "c")
 
 
-def test_with_short_deadlines_idle_connections_end_before_sigkill_and_none_is_reset(tmp_path: Path) -> None:
+def test_idle_connections_get_an_eof_before_sigkill_if_deadlines_are_short(tmp_path: Path) -> None:
+    """The idle timeout of a drain is longer than the time until SIGKILL, which depends on the longest deadline.
+
+    Idle connections must still be closed without a reset, which could hit a request in transit.
+    """
     async def scene() -> None:
-        program, where = await short(tmp_path, FakeHost())
+        program, address = await launch_with_short_deadlines(tmp_path, FakeHost())
         readers = []
         for number in range(3):
-            reader, writer = await asyncio.open_connection(*where)
+            reader, writer = await asyncio.open_connection(*address)
             if number:
                 writer.write(request(rid=f"r{number}"))
                 await reader.readuntil(b"done")
             readers.append(reader)
-        since = now_ns()
+        sigterm_at = now_ns()
         program.send_signal(signal.SIGTERM)
         for reader in readers:
-            assert await reader.read() == b""   # an end; a reset would raise
-        assert now_ns() - since < 1100 * MS     # SIGKILL: the longest deadline and 0.7 s
+            assert await reader.read() == b""   # EOF; a reset would raise an exception
+        assert now_ns() - sigterm_at < 1100 * MS     # SIGKILL comes 0.7 s after the longest deadline
         await program.wait()
     play(scene)
 
 
-def test_what_is_held_as_the_program_ends_gets_a_whole_answer(tmp_path: Path) -> None:
+def test_open_requests_get_a_complete_response_before_the_program_exits(tmp_path: Path) -> None:
+    """Requests that arrive just before the end of a shutdown must get an error response instead of a reset."""
     async def scene() -> None:
         host = FakeHost(reply=None)
-        program, where = await short(tmp_path, host)
-        clients = [await connect(where) for _ in range(3)]
+        program, address = await launch_with_short_deadlines(tmp_path, host)
+        clients = [await connect(address) for _ in range(3)]
         program.send_signal(signal.SIGTERM)
-        since = now_ns()
-        await until(lambda: now_ns() - since > 500 * MS)   # 0.1 s before the end: no answer will have come
+        sigterm_at = now_ns()
+        await until(lambda: now_ns() - sigterm_at > 500 * MS)   # 0.1 s before fail_all: no host has responded
         for number, client in enumerate(clients):
             client.send(request(rid=f"r{number}", X_Timeout_Ms="400"))
         for client in clients:
-            text = await client.reader.read()   # up to the end; a reset would raise
+            text = await client.reader.read()   # up to the EOF; a reset would raise an exception
             assert text.startswith((b"HTTP/1.1 502", b"HTTP/1.1 503"))
             assert text.endswith((b"failed\n", b"refused\n"))
-        assert now_ns() - since < 800 * MS      # by fail_all, not by its own time
+        assert now_ns() - sigterm_at < 800 * MS      # ended by fail_all, not by the request's deadline
         for client in clients:
             client.writer.close()
         assert await program.wait() == 0
     play(scene)
 
 
-def test_a_request_that_comes_as_the_program_ends_is_refused_unsent(tmp_path: Path) -> None:
+def test_request_received_at_the_end_of_a_shutdown_is_refused_unsent(tmp_path: Path) -> None:
+    """The head of a request is completed after all open requests have been failed: no host could respond in time."""
     async def scene() -> None:
         host = FakeHost(reply=None)
-        program, where = await short(tmp_path, host)
-        client = await connect(where)
-        client.send(b"POST /once/x HTTP/1.1\r\n")      # its head has begun
+        program, address = await launch_with_short_deadlines(tmp_path, host)
+        client = await connect(address)
+        client.send(b"POST /once/x HTTP/1.1\r\n")      # an incomplete head
         program.send_signal(signal.SIGTERM)
-        since = now_ns()
-        await until(lambda: now_ns() - since > 680 * MS)   # past the end, within the time to read the last answers
+        sigterm_at = now_ns()
+        await until(lambda: now_ns() - sigterm_at > 680 * MS)   # after fail_all, before the exit
         client.send(request("once").partition(b"\r\n")[2])
         status, headers, _ = await client.answer()
         assert (status, headers["connection"]) == (503, "close")
@@ -423,19 +469,20 @@
     play(scene)
 
 
-def test_shorter_deadlines_that_come_during_the_end_cut_nothing_that_is_held(tmp_path: Path) -> None:
+def test_reload_with_shorter_deadlines_during_a_shutdown_ends_no_open_request(tmp_path: Path) -> None:
+    """SIGHUP after SIGTERM brings shorter deadlines: the time until the exit must not be computed again."""
     async def scene() -> None:
         host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
         config = write_config(tmp_path / "c", discovery, host)
-        program, where = await launch(tmp_path / "c")
-        reader, writer = await asyncio.open_connection(*where)
+        program, address = await launch(tmp_path / "c")
+        reader, writer = await asyncio.open_connection(*address)
         writer.write(request())
         seen = await host.seen.get()
         program.send_signal(signal.SIGTERM)
-        (tmp_path / "c").write_text(json.dumps({**config, "settings": {**SETTINGS, "request-classes": SHORT}}))
+        (tmp_path / "c").write_text(json.dumps({**config, "settings": {**SETTINGS, "request-classes": SHORT_CLASSES}}))
         program.send_signal(signal.SIGHUP)
-        since = now_ns()
-        await until(lambda: now_ns() - since > 1200 * MS)   # the shorter deadlines and all that follows are over
+        sighup_at = now_ns()
+        await until(lambda: now_ns() - sighup_at > 1200 * MS)   # a shutdown with the shorter deadlines would be over
         seen.reply()
         assert (await reader.read()).endswith(b"done")
         writer.close()
@@ -443,12 +490,13 @@
     play(scene)
 
 
-def test_what_waits_at_the_listener_as_it_closes_is_taken_and_answered() -> None:
+def test_connections_in_the_accept_queue_are_served_when_the_listener_closes() -> None:
+    """The kernel resets connections in the queue of a listener that is closed: they must be accepted before."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
             loop = asyncio.get_running_loop()
-            with socket.create_connection(stage.where) as sock:   # the kernel has let it in, the gateway has not
+            with socket.create_connection(stage.where) as sock:   # established by the kernel, not accepted yet
                 sock.setblocking(False)
                 sock.send(request())
                 stage.gateway.stop()
@@ -457,24 +505,28 @@
     play(scene)
 
 
-# ---- The first moments --------------------------------------------------------------------------------------
+# ---- Startup ------------------------------------------------------------------------------------------------
+
 
+def test_sighup_before_the_configuration_is_read_causes_a_reload(tmp_path: Path) -> None:
+    """SIGHUP ends a process by default, and a signal during startup must not be lost.
 
-def test_sighup_before_the_configuration_is_read_ends_nothing_and_loses_no_file(tmp_path: Path) -> None:
+    The program may have opened the file just before it was replaced, so it has to read it again.
+    """
     async def scene() -> None:
         host, old, new = await FakeHost().start(), await FakeDiscovery().start(), await FakeDiscovery().start()
         config = write_config(tmp_path / "c", old, host)
         (tmp_path / "c").unlink()
-        os.mkfifo(tmp_path / "c")   # the program waits for the file for as long as this scene wants
-        program = asyncio.create_task(launch(tmp_path / "c"))
-        writing = await asyncio.to_thread(os.open, tmp_path / "c", os.O_WRONLY)   # once it is being read
-        (number,) = spawned(tmp_path)
-        os.kill(number, signal.SIGHUP)
-        os.write(writing, json.dumps(config).encode())
+        os.mkfifo(tmp_path / "c")   # the program blocks until the test writes the file
+        launching = asyncio.create_task(launch(tmp_path / "c"))
+        fifo = await asyncio.to_thread(os.open, tmp_path / "c", os.O_WRONLY)   # returns once the program reads
+        (pid,) = find_processes(tmp_path)
+        os.kill(pid, signal.SIGHUP)
+        os.write(fifo, json.dumps(config).encode())
         (tmp_path / "next").write_text(json.dumps({**config, "discovery": new.address}))
         os.replace(tmp_path / "next", tmp_path / "c")
-        os.close(writing)
-        process, _ = await program
+        os.close(fifo)
+        process, _ = await launching
         assert "watch=1" in (await new.calls.get())[0]
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
@@ -485,44 +537,46 @@
                                      (signal.SIGTERM, signal.SIGHUP)])
 def test_signals_while_the_first_list_is_waited_for(
         signals: tuple[signal.Signals, ...], tmp_path: Path, free_port: int) -> None:
+    """A program that gets SIGTERM before it accepts clients must exit with status 0, and not listen first."""
     async def scene() -> None:
         discovery = await FakeDiscovery(tells=True).start()
         config = write_config(tmp_path / "c", discovery)
         address = f"127.0.0.1:{free_port}"
         (tmp_path / "c").write_text(json.dumps({**config, "listen": address}))
         other = Handover(("127.0.0.1", free_port), str(tmp_path))
-        other.register()   # beside it the program takes no clients before it has a list
+        other.register()   # with another process running, the program waits for a list before it listens
         program = await asyncio.create_subprocess_exec(
             *COMMAND, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "EDGE_CONFIG": str(tmp_path / "c"), "TMPDIR": str(tmp_path)})
-        await discovery.calls.get()   # it waits
+        await discovery.calls.get()   # its call for the first list has arrived
         for number in signals:
             program.send_signal(number)
-        _, said = await program.communicate()
-        assert (program.returncode, b"Traceback" in said, b"listening" in said) == (0, False, False)
+        _, output = await program.communicate()
+        assert (program.returncode, b"Traceback" in output, b"listening" in output) == (0, False, False)
         other.close()
     play(scene)
 
 
-def test_a_list_that_sighup_brings_in_the_first_moments_is_not_replaced_by_the_known_one(
+def test_list_received_during_startup_is_not_replaced_by_the_configured_one(
         monkeypatch: pytest.MonkeyPatch) -> None:
+    """SIGHUP may bring a list while the start is awaiting a bind: the older configured list must not follow it."""
     async def scene() -> None:
         async with Stage() as stage:
-            told: list[ListKind] = []
+            list_kinds: list[ListKind] = []
             await stage.begin(rows=[])
             gateway = stage.gateway
-            monkeypatch.setattr(gateway.core, "on_list", lambda kind, _: told.append(kind))
-            listening = asyncio.Event()
+            monkeypatch.setattr(gateway.core, "on_list", lambda kind, _: list_kinds.append(kind))
+            may_listen = asyncio.Event()
 
             async def listen(*_: object) -> tuple[str, int]:
-                await listening.wait()   # the operators' address takes its time
+                await may_listen.wait()   # the bind of the operators' address takes a while
                 return "", 0
             monkeypatch.setattr(gateway.admin, "listen", listen)
             monkeypatch.setattr(gateway._config, "operator", ("", 0))
-            again = asyncio.create_task(gateway.start())
+            second_start = asyncio.create_task(gateway.start())
             await asyncio.sleep(0)
-            gateway._on_list(ListKind.FULL, [])   # what a watch tells meanwhile
-            listening.set()
-            await again
-            assert told[-1] is ListKind.FULL
+            gateway._on_list(ListKind.FULL, [])   # a watch receives a list meanwhile
+            may_listen.set()
+            await second_start
+            assert list_kinds[-1] is ListKind.FULL
     play(scene)
