--- a/tests/test_incident_27.py
+++ b/tests/test_incident_27.py
@@ -1,6 +1,7 @@
-"""Incident 27 on real processes: what the gateway does with a change that it could know of.
+"""Incident 27 on real processes: how a gateway applies an update that it could have received.
 
-Each play has one kind of fault; the rules are judged from hosts, discovery and clients alone (`tests/soak/books.py`).
+Each run has one kind of fault; the rules are judged only by the records of hosts, discovery and clients
+(`tests/soak/books.py`).
 """
 
 from __future__ import annotations
@@ -29,53 +30,66 @@
 
 @pytest.fixture(scope="session")
 def shim(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The shim, built once."""
+    """Build the shim once for all tests."""
     return build_shim(tmp_path_factory.mktemp("shim"))
 
 
-def played(shim: Path, faults: list[Fault], *, seed: int = 1, pushed: bool = True, **more: Any) -> Played:
-    """A play of one gateway, four hosts and forty clients, with a grace of 1 s."""
-    given: dict[str, Any] = {"gateways": 1, "hosts": 4, "clients": 40, "pause": 0.03, "grace": 1.0, "patience": 1.0,
+def run_faults(shim: Path, faults: list[Fault], *, seed: int = 1, pushed: bool = True, **overrides: Any) -> Played:
+    """Run one gateway, four hosts and forty clients with these faults and a drain grace of 1 s."""
+    plan: dict[str, Any] = {"gateways": 1, "hosts": 4, "clients": 40, "pause": 0.03, "grace": 1.0, "patience": 1.0,
                              "leaves": 0.0, "lasts": max(fault.at + fault.lasts for fault in faults) + 2.5}
-    result: Played = uvloop.run(play(Plan(seed=seed, pushed=pushed, faults=faults, **(given | more)), shim))
+    result: Played = uvloop.run(play(Plan(seed=seed, pushed=pushed, faults=faults, **(plan | overrides)), shim))
     return result
 
 
 AIM_S = 0.4
-"""The time in which the settings want an answer."""
+"""Target response time of the settings."""
 STOPS = [(number * 4.0, lasts) for number, lasts in enumerate((1.2, 2.5, 2.5))]
 
 
-def test_a_change_that_came_during_a_stop_is_followed_before_anything_is_sent(shim: Path) -> None:
+def test_update_received_during_a_stop_takes_effect_before_requests_are_sent(shim: Path) -> None:
+    """The gateway process is stopped, and a host starts to drain meanwhile.
+
+    After the stop the gateway must read the pending update before it sends any request by the old list.
+    """
     faults = []
     for number, (at, lasts) in enumerate(STOPS):
         faults += [Fault(1.5 + at, "stop", "n0", lasts), Fault(1.6 + at, "drain", f"h{number}"),
                    Fault(4.9 + at, "ready", f"h{number}")]
     for pushed in (True, False):
-        assert played(shim, faults, pushed=pushed).broken == {}
+        assert run_faults(shim, faults, pushed=pushed).broken == {}
+
 
+def test_update_takes_effect_in_time_after_connects_to_discovery_timed_out(shim: Path) -> None:
+    """The watch is reset while SYNs to discovery are dropped, and a host starts to drain just before that ends.
 
-def test_a_change_is_followed_though_connections_to_discovery_did_not_come_up_for_a_while(shim: Path) -> None:
+    If the gateway waited for the kernel's retransmission of the SYN, the drain would take effect too late.
+    """
     faults = []
     for number in range(3):
         at = 1.5 + 4.0 * number
         faults += [Fault(at, "drop", "n0", 1.35), Fault(at + 0.01, "reset", "n0"),
                    Fault(at + 1.3, "drain", f"h{number}"), Fault(at + 3.5, "ready", f"h{number}")]
-    assert played(shim, faults).broken == {}
+    assert run_faults(shim, faults).broken == {}
+
 
+def test_served_requests_recover_after_a_stop(shim: Path) -> None:
+    """All open attempts time out during a stop of the gateway process.
 
-def test_after_a_stop_hosts_are_used_as_before(shim: Path) -> None:
+    If the hosts were blamed for it, clients would be served less, and later, than before the stop.
+    """
     faults = [Fault(3.0 + 5.0 * number, "stop", "n0", 2.5) for number in range(4)]
-    books = played(shim, faults).books
+    ledger = run_faults(shim, faults).books
     for fault in faults:
-        again = fault.at + fault.lasts + 1.0
-        before, after = books.served(fault.at - 1.0, fault.at), books.served(again, again + 1.0)
-        # Each client waits for its answer, so how many ask in a second is the machine's: what it gets is the gateway's.
+        later = fault.at + fault.lasts + 1.0
+        before, after = ledger.served(fault.at - 1.0, fault.at), ledger.served(later, later + 1.0)
+        # Clients wait for each response: the request rate depends on the machine, the share in time on the gateway.
         assert after >= 0.5 * before > 100, (fault.at, before, after)
-        assert books.in_time(again, again + 1.0, AIM_S) >= 0.9 * books.in_time(fault.at - 1.0, fault.at, AIM_S) > 0.8
+        assert ledger.in_time(later, later + 1.0, AIM_S) >= 0.9 * ledger.in_time(fault.at - 1.0, fault.at, AIM_S) > 0.8
 
 
-def test_a_start_meets_ten_failing_calls_and_is_ready(shim: Path, tmp_path: Path) -> None:
+def test_gateway_starts_in_spite_of_ten_failing_system_calls(shim: Path, tmp_path: Path) -> None:
+    """A temporary shortage of local resources during startup must be retried, not end the process."""
     async def scene(operation: str, pushed: bool) -> None:
         stage = Play(Plan(1, 1, 2, 1, 1.0, pushed, 0.3, 1.0, 0.0), tmp_path / f"{operation}-{pushed}", shim)
         async with stage.parts():
@@ -88,74 +102,84 @@
         uvloop.run(scene(operation, operation == "connect"))
 
 
-def test_a_host_that_starts_is_taken_for_cold_whatever_the_wall_clock_did(shim: Path) -> None:
+def test_restarted_host_gets_a_slow_start_after_a_step_of_the_wall_clock(shim: Path) -> None:
+    """Hosts report their start time by the wall clock, which steps by an hour, everywhere or at the gateway alone.
+
+    A restarted host must be treated as cold, but not for the whole hour.
+    """
     everywhere = [[Fault(1.0, "clock", "*", 0.1, step)] for step in (3600.0, -3600.0)]
     here = [[Fault(1.0, "clock", "n0", 0.1, step), Fault(1.1, "kill", "n0", 0.1)] for step in (3600.0, -3600.0)]
     for steps in everywhere + here:
-        result = played(shim, [*steps, Fault(4.0, "cold", "h0"), Fault(6.0, "cold", "h0")], lasts=9.0)
+        result = run_faults(shim, [*steps, Fault(4.0, "cold", "h0"), Fault(6.0, "cold", "h0")], lasts=9.0)
         assert result.broken == {}, steps
         served = [begin.at for begin in result.books.begins if begin.host == "h0"]
         assert max(served) > 8.0, (steps, "it gets nothing for an hour")
 
 
-def test_a_list_that_could_not_be_written_is_still_owed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    wrote: list[int] = []
+def test_write_of_the_cached_list_is_retried_after_an_error(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """If the write is given up while the disk is full, the next start uses an old list."""
+    writes: list[int] = []
 
-    def no_room(_: int) -> None:
-        wrote.append(1)
-        if len(wrote) <= 2:
+    def fail_twice(_: int) -> None:
+        writes.append(1)
+        if len(writes) <= 2:
             raise OSError(errno.ENOSPC, "no space left")
-    monkeypatch.setattr(os, "fsync", no_room)
-    (tmp_path / "list-n0.json.999999999.new").write_text("half")   # of a process that was killed in the middle
-    kept = CachedList(str(tmp_path), "n0")
+    monkeypatch.setattr(os, "fsync", fail_twice)
+    (tmp_path / "list-n0.json.999999999.new").write_text("half")   # left by a process that was killed during the write
+    cached_list = CachedList(str(tmp_path), "n0")
 
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         discovery = FailoverDiscovery(loop, Timers(loop), [("127.0.0.1", 1)], UpdateParser(["a"], [], StartTimes()),
-                                      True, lambda kind, listed: None, kept)
+                                      True, lambda kind, listed: None, cached_list)
         discovery.load_known_list({"generation": 1, "reset": True, "instances": []})
         call = DiscoveryCall(discovery, True)
         row = {"instanceId": "h0", "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": "in_service"}
         discovery.on_update(call, json.dumps({"generation": 2, "reset": True, "instances": [row]}).encode())
-        until = time.monotonic() + 10
-        while kept.read() is None and time.monotonic() < until:
+        give_up_at = time.monotonic() + 10
+        while cached_list.read() is None and time.monotonic() < give_up_at:
             await asyncio.sleep(0.05)
         discovery.close()
     uvloop.run(scene())
-    told = kept.read()
-    assert told is not None and told["generation"] == 2
+    content = cached_list.read()
+    assert content is not None and content["generation"] == 2
     assert [path.name for path in tmp_path.iterdir()] == ["list-n0.json"]
 
 
-def test_a_list_that_is_refused_changes_nothing_that_is_remembered() -> None:
-    lines = UpdateParser(["a"], [], StartTimes())
+def test_rejected_list_does_not_change_the_entries_kept_for_malformed_instances() -> None:
+    """The parser completes a malformed instance from the last accepted entry of its host.
+
+    A list that is parsed but not accepted must not replace these entries.
+    """
+    parser = UpdateParser(["a"], [], StartTimes())
     row = {"instanceId": "h0", "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": "in_service"}
-    lines.parse({"generation": 1, "reset": True, "instances": [row]})
-    lines.read({"generation": 0, "reset": True, "instances": []})   # not accepted
-    [item] = lines.read({"generation": 2, "instances": [{**row, "zone": "z"}]}).hosts
-    assert item.entry.host == "h0"   # its broken entry is still mended by what was accepted
+    parser.parse({"generation": 1, "reset": True, "instances": [row]})
+    parser.read({"generation": 0, "reset": True, "instances": []})   # not accepted
+    [item] = parser.read({"generation": 2, "instances": [{**row, "zone": "z"}]}).hosts
+    assert item.entry.host == "h0"   # still completed from the accepted entry
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_an_older_version_that_comes_after_a_newer_one_is_not_taken(first: bool) -> None:
+def test_update_with_an_older_generation_is_rejected(first: bool) -> None:
+    """An older update could make a draining host ready again: the call is closed, and a full list requested."""
     async def scene() -> None:
         loop = asyncio.get_running_loop()
-        told: list[tuple[ListKind, list[HostState]]] = []
+        reported: list[tuple[ListKind, list[HostState]]] = []
         discovery = Discovery(loop, Timers(loop), ("127.0.0.1", 1), UpdateParser(["a"], [], StartTimes()), False,
-                              lambda kind, listed: told.append((kind, [item.entry.state for item in listed])))
+                              lambda kind, listed: reported.append((kind, [item.entry.state for item in listed])))
         discovery.load_known_list({"generation": 1, "reset": True, "instances": []})
         discovery.watch(True)
         call = discovery._watch
         assert call is not None
 
-        def line(generation: int, lifecycle: str) -> bytes:
+        def update(generation: int, lifecycle: str) -> bytes:
             return json.dumps({"generation": generation, "instances": [{
                 "instanceId": "h0", "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": lifecycle}]}).encode()
-        discovery.on_update(call, line(3, "terminating"))
+        discovery.on_update(call, update(3, "terminating"))
         if first:
             call.first_list_ns = 0
-        discovery.on_update(call, line(2, "in_service"))
-        assert told[1:] == [(ListKind.DELTA, [HostState.DRAINING]), (ListKind.FAILED, [])]
-        assert (call.closed, discovery.resume_generation) == (True, 0)   # the whole list is asked for
+        discovery.on_update(call, update(2, "in_service"))
+        assert reported[1:] == [(ListKind.DELTA, [HostState.DRAINING]), (ListKind.FAILED, [])]
+        assert (call.closed, discovery.resume_generation) == (True, 0)   # a full list is requested
         discovery.close()
     uvloop.run(scene())
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""What operators see: the second address, the figures."""
+"""The operators' address: readiness, metrics and draining."""
 
 from __future__ import annotations
 
@@ -22,24 +22,25 @@
 
 
 async def call(stage: Stage, data: bytes) -> tuple[int, bytes]:
-    """One call on a connection of its own, read to its end."""
+    """Send a request on a new connection and read up to the EOF; return the status and the body."""
     reader, writer = await asyncio.open_connection(*stage.gateway.operator_address)
     writer.write(data)
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    head, _, body = answer.partition(b"\r\n\r\n")
+    head, _, body = response.partition(b"\r\n\r\n")
     return int(head.split()[1]), body
 
 
 async def figures(stage: Stage) -> dict[str, int]:
-    """The figures by their names."""
+    """Read the metrics by name."""
     status, body = await call(stage, b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
     assert status == 200
     pairs = (line.partition("=") for line in body.decode().splitlines())
     return {name.removeprefix("svc."): int(value) for name, _, value in pairs}
 
 
-def test_operators_are_told_whether_clients_are_taken() -> None:
+def test_ready_endpoint_reports_a_gateway_that_accepts_clients() -> None:
+    """Load balancers send no clients to a gateway that is not reported as ready."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), told=OPERATOR)
@@ -47,13 +48,14 @@
     play(scene)
 
 
-def test_without_the_setting_nothing_more_listens() -> None:
+def test_no_operator_port_without_the_setting() -> None:
+    """Without a configured address for operators there is no second port, and clients can't read the metrics either."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost())
             assert not hasattr(stage.gateway, "operator")
             status, _, _ = await (await stage.client()).ask(b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert status == 404   # nor can clients ask for the figures
+            assert status == 404   # clients can't read the metrics
     play(scene)
 
 
@@ -65,7 +67,8 @@
     (408, b""),
     (408, b"GET /_vars HTT"),
 ])
-def test_what_is_no_call_gets_an_error_and_a_close(status: int, data: bytes) -> None:
+def test_invalid_operator_request_gets_an_error_and_a_close(status: int, data: bytes) -> None:
+    """Unknown paths, malformed, too long and incomplete requests must be answered and their connections closed."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), told=OPERATOR)
@@ -73,19 +76,21 @@
     play(scene)
 
 
-def test_silent_callers_are_in_nobodys_way() -> None:
+def test_silent_operator_connections_do_not_block_others() -> None:
+    """Connections that never send a request use up the maximum; a new one must still be served."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), told=OPERATOR)
-            crowd = [await asyncio.open_connection(*stage.gateway.operator_address)
-                     for _ in range(2 * MAX_OPERATOR_CONNECTIONS)]
+            silent = [await asyncio.open_connection(*stage.gateway.operator_address)
+                      for _ in range(2 * MAX_OPERATOR_CONNECTIONS)]
             assert (await figures(stage))["pending"] == 0
-            for _, writer in crowd:
+            for _, writer in silent:
                 writer.close()
     play(scene)
 
 
-def test_the_figures_tell_what_became_of_requests() -> None:
+def test_metrics_count_open_and_completed_requests() -> None:
+    """A request must be counted once: as pending while it is open, afterwards as completed in its own class."""
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -96,8 +101,8 @@
             assert (before["members"], before["members_unavailable"]) == (1, 0)
             client.send(request())
             seen = await host.seen.get()
-            held = await figures(stage)
-            assert (held["pending"], held["upstream_requests"]) == (1, 1)
+            during = await figures(stage)
+            assert (during["pending"], during["upstream_requests"]) == (1, 1)
             seen.reply()
             assert (await client.answer())[0] == 200
             after = await figures(stage)
@@ -107,35 +112,41 @@
 
 
 @pytest.mark.parametrize(("make", "name"), [(Refuses, "rejected"), (Fails, "failed")])
-def test_refused_and_failed_requests_count_apart(make: type, name: str) -> None:
+def test_rejected_and_failed_requests_are_counted_separately(make: type, name: str) -> None:
+    """A rejection by the gateway and a failure must each change one counter, and only that one."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), make=make, told=OPERATOR)
             await (await stage.client()).ask(request("once"))
-            told = await figures(stage)
-            assert {key: told[f"downstream_requests.once.{key}"]
+            metrics = await figures(stage)
+            assert {key: metrics[f"downstream_requests.once.{key}"]
                     for key in ("completed", "rejected", "failed")} == {
                 "completed": 0, "rejected": 0, "failed": 0, name: 1}
     play(scene)
 
 
-def test_hosts_that_drain_are_told_as_avoided() -> None:
+def test_draining_hosts_are_counted_as_unavailable() -> None:
+    """A draining host is still in the list, but gets no new requests."""
     async def scene() -> None:
         async with Stage() as stage:
             here, leaving = await FakeHost("h0").start(), await FakeHost("h1").start()
             await stage.begin(rows=[here.row(), leaving.row("terminating")], told=OPERATOR)
-            told = await figures(stage)
-            assert (told["members"], told["members_unavailable"]) == (2, 1)
+            metrics = await figures(stage)
+            assert (metrics["members"], metrics["members_unavailable"]) == (2, 1)
     play(scene)
 
 
-ON = b"POST /_lameduck/on HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
-OFF = ON.replace(b"/on ", b"/off ")
+START_DRAIN = b"POST /_lameduck/on HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+STOP_DRAIN = START_DRAIN.replace(b"/on ", b"/off ")
 HEALTH = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 READY = b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def test_a_drain_sends_clients_away_and_cuts_nothing() -> None:
+def test_drain_closes_connections_without_ending_open_requests() -> None:
+    """A drain must reject health checks, close idle connections, and complete open requests before it closes theirs.
+
+    A second call to start the drain must change nothing.
+    """
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
@@ -144,8 +155,8 @@
             assert (await idle.ask(HEALTH))[0] == 200
             busy.send(request())
             seen = await host.seen.get()
-            for _ in range(2):   # twice is as once
-                assert (await call(stage, ON))[0] == 200
+            for _ in range(2):   # the second call changes nothing
+                assert (await call(stage, START_DRAIN))[0] == 200
             assert (await call(stage, READY))[0] == 503
             status, headers, _ = await new.ask(HEALTH)
             assert (status, headers["connection"]) == (503, "close")
@@ -158,44 +169,48 @@
     play(scene)
 
 
-def test_a_drain_leaves_connections_that_have_just_been_used() -> None:
-    """What is closed at once would cross requests."""
+def test_drain_keeps_recently_used_connections_open() -> None:
+    """A connection closed at once could be reset while its next request is in transit."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), told=OPERATOR)
             client = await stage.client()
             assert (await client.ask(request()))[0] == 200
-            await call(stage, ON)
+            await call(stage, START_DRAIN)
             stage.gateway.server.sweep(now_ns())
             status, headers, _ = await client.ask(request(rid="r2"))
             assert (status, headers["connection"]) == (200, "close")
     play(scene)
 
 
-def test_the_end_of_a_drain_brings_clients_back() -> None:
+def test_clients_are_served_again_after_the_end_of_a_drain() -> None:
+    """After the end of a drain connections stay open again; a drain that belongs to a shutdown can't be ended."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), told=OPERATOR)
-            await call(stage, ON)
+            await call(stage, START_DRAIN)
             for _ in range(2):
-                assert (await call(stage, OFF))[0] == 200
+                assert (await call(stage, STOP_DRAIN))[0] == 200
             assert (await call(stage, READY))[0] == 200
             client = await stage.client()
             for ask in (HEALTH, request(), request(rid="r2")):
                 status, headers, _ = await client.ask(ask)
                 assert (status, headers.get("connection")) == (200, None)
             stage.gateway.stop()
-            assert (await call(stage, OFF))[0] == 409   # it leaves all the same
+            assert (await call(stage, STOP_DRAIN))[0] == 409   # a shutdown can't be stopped
             assert (await call(stage, READY))[0] == 503
     play(scene)
 
 
 @pytest.mark.parametrize("two", [False, True])
-def test_while_two_processes_run_requests_wait_on_a_part_of_the_connections(
+def test_waiting_requests_are_limited_to_a_share_of_the_connections_while_two_processes_run(
         two: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A third of 288 descriptors is for clients' requests: half of it at each, and half of that waits."""
+    """Two processes share the limits of one gateway: without a maximum, waiting requests would use up the connections.
+
+    A third of 288 descriptors is for clients' requests, half of it in each process, and half of that may wait.
+    """
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    monkeypatch.setattr(program, "FIRST_LIST_WAIT_NS", MS)   # nobody tells the list
+    monkeypatch.setattr(program, "FIRST_LIST_WAIT_NS", MS)   # discovery sends no list
     with socket.create_server(("127.0.0.1", 0)) as free:
         address: tuple[str, int] = free.getsockname()
     other = Handover(address)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is started: its configuration, its signals, its descriptors."""
+"""The gateway as a process: configuration, signals, descriptors and takeover."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 async def launch(path: Path, sockets: int = 0,
                  **environ: str) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-    """Start the program; it prints its address once it listens."""
+    """Start the program; return it and its address, which it logs once it listens."""
     def limit() -> None:
         if sockets:
             resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
@@ -56,25 +56,26 @@
             return program, (host, int(port))
 
 
-async def connect(where: tuple[str, int]) -> Client:
-    return Client(*await asyncio.open_connection(*where))
+async def connect(address: tuple[str, int]) -> Client:
+    return Client(*await asyncio.open_connection(*address))
 
 
-async def served(where: tuple[str, int]) -> Client:
-    """The first new client that is not turned away."""
+async def served(address: tuple[str, int]) -> Client:
+    """Connect until a client's request is served, and return that client."""
     while True:
-        client = await connect(where)
+        client = await connect(address)
         try:
             if (await client.ask(request()))[0] == 200:
                 return client
         except (OSError, asyncio.IncompleteReadError):
-            pass   # there was no room
+            pass   # refused: no connection available
         client.writer.close()
 
 
 @pytest.mark.parametrize("text", [None, "", "{", "[]", "{}", '{"listen": "x", "discovery": "127.0.0.1:1"}',
                                   '{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": 7}'])
-def test_a_bad_configuration_is_one_plain_line(text: str | None, tmp_path: Path) -> None:
+def test_invalid_configuration_is_reported_in_one_line(text: str | None, tmp_path: Path) -> None:
+    """The program must exit with status 2 and one line for the operator, not with a traceback."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -84,21 +85,25 @@
     assert done.stderr.startswith("gateway: EDGE_CONFIG: ")
 
 
-def test_sigterm_answers_what_is_held_and_what_still_comes(tmp_path: Path) -> None:
+def test_open_and_new_requests_are_answered_after_sigterm(tmp_path: Path) -> None:
+    """Load balancers notice a shutdown with a delay, and go on sending new connections for a while.
+
+    Open requests must be completed, new ones answered, and idle connections closed, before the process exits.
+    """
     async def scene() -> None:
         host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
         write_config(tmp_path / "c", discovery, host)
-        program, where = await launch(tmp_path / "c")
-        idle, busy = await connect(where), await connect(where)
+        program, address = await launch(tmp_path / "c")
+        idle, busy = await connect(address), await connect(address)
         assert (await idle.ask(READY))[0] == 200
         busy.send(request())
         seen = await host.seen.get()
         program.send_signal(signal.SIGTERM)
-        late = await connect(where)              # new connections still come for a while
+        late = await connect(address)            # new connections are still accepted for a while
         while (answer := await late.ask(READY))[0] == 200:
-            pass                                 # the signal is still on its way
+            pass                                 # the signal has not been handled yet
         assert (answer[0], answer[1]["connection"]) == (503, "close")
-        assert await idle.reader.read() == b""   # closed between requests
+        assert await idle.reader.read() == b""   # closed while idle
         seen.reply()
         status, headers, _ = await busy.answer()
         assert (status, headers["connection"]) == (200, "close")
@@ -108,56 +113,61 @@
     play(scene)
 
 
-def test_a_restart_is_at_once(tmp_path: Path) -> None:
+def test_process_can_be_restarted_on_its_address_after_sigkill(tmp_path: Path) -> None:
+    """Connections of a killed process may still exist in the kernel; they must not block the next process's bind."""
     async def scene() -> None:
         host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
         config = write_config(tmp_path / "c", discovery, host)
-        program, where = await launch(tmp_path / "c")
-        busy = await connect(where)
+        program, address = await launch(tmp_path / "c")
+        busy = await connect(address)
         busy.send(request())
         await host.seen.get()
         program.kill()
         await program.wait()
-        (tmp_path / "c").write_text(json.dumps({**config, "listen": f"{where[0]}:{where[1]}"}))
-        program, again = await launch(tmp_path / "c")
-        assert again == where
+        (tmp_path / "c").write_text(json.dumps({**config, "listen": f"{address[0]}:{address[1]}"}))
+        program, new_address = await launch(tmp_path / "c")
+        assert new_address == address
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
     play(scene)
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256])
-@pytest.mark.parametrize("asks", [b"", b"GET /", READY])
-def test_discovery_hosts_and_operators_get_descriptors_that_idle_clients_have_filled_while_discovery_was_down(
-        asks: bytes, sockets: int, free_port: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize("data", [b"", b"GET /", READY])
+def test_idle_clients_leave_descriptors_for_discovery_hosts_and_operators(
+        data: bytes, sockets: int, free_port: int, tmp_path: Path) -> None:
+    """While discovery is down, idle clients take all the descriptors that the gateway has for them.
+
+    Connections to discovery and hosts, and those of operators, must still get descriptors once discovery is back.
+    """
     async def scene() -> None:
         host, discovery = await FakeHost().start(), FakeDiscovery()
-        with socket.create_server(("127.0.0.1", 0)) as place:   # bound, and nobody answers there
-            number = place.getsockname()[1]
-        discovery.address = f"127.0.0.1:{number}"
+        with socket.create_server(("127.0.0.1", 0)) as free:   # a free port: nothing listens on it
+            port = free.getsockname()[1]
+        discovery.address = f"127.0.0.1:{port}"
         config = write_config(tmp_path / "c", discovery, host)
         config.update(operator=f"127.0.0.1:{free_port}", limits={"sockets": sockets},
                       known={"generation": 41, "reset": True, "instances": []})
         (tmp_path / "c").write_text(json.dumps(config))
-        program, where = await launch(tmp_path / "c", sockets=sockets)
-        crowd = []
-        for _ in range(2 * sockets):   # at once: more than it may hold, and than it can send away in a turn of its loop
+        program, address = await launch(tmp_path / "c", sockets=sockets)
+        idle_socks = []
+        for _ in range(2 * sockets):   # more at once than the limit, and than one event-loop iteration can refuse
             sock = socket.socket()
             sock.setblocking(False)
-            sock.connect_ex(where)
-            crowd.append(sock)
-        for sock in crowd:
+            sock.connect_ex(address)
+            idle_socks.append(sock)
+        for sock in idle_socks:
             with suppress(OSError):
-                sock.send(asks)
-        server = await asyncio.start_server(discovery.serve, "127.0.0.1", number)
-        first, writer = await discovery.calls.get()
-        assert "watch=1" in first
+                sock.send(data)
+        server = await asyncio.start_server(discovery.serve, "127.0.0.1", port)
+        request_line, writer = await discovery.calls.get()
+        assert "watch=1" in request_line
         discovery.head(writer)
         discovery.line(writer, 42, [host.row()], reset=True)
         operator = await connect(("127.0.0.1", free_port))
         assert (await operator.ask(b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-        await served(where)   # the crowd stays
-        for sock in crowd:
+        await served(address)   # the idle clients are still connected
+        for sock in idle_socks:
             sock.close()
         server.close()
         program.kill()
@@ -165,15 +175,16 @@
     play(scene)
 
 
-def test_running_out_of_descriptors_is_no_crash(tmp_path: Path) -> None:
+def test_process_survives_running_out_of_descriptors(tmp_path: Path) -> None:
+    """accept() fails while 80 clients use up 40 descriptors; the program must serve again once they have left."""
     async def scene() -> None:
         host, discovery = await FakeHost().start(), await FakeDiscovery(tells=True).start()
         write_config(tmp_path / "c", discovery, host)
-        program, where = await launch(tmp_path / "c", sockets=40)
-        crowd = [await connect(where) for _ in range(80)]
-        for client in crowd:
+        program, address = await launch(tmp_path / "c", sockets=40)
+        clients = [await connect(address) for _ in range(80)]
+        for client in clients:
             client.writer.close()
-        client = await served(where)   # the crowd leaves: it serves again, as soon as that is noticed
+        client = await served(address)   # served as soon as the gateway notices that the others have left
         assert program.returncode is None
         program.send_signal(signal.SIGTERM)
         client.writer.close()
@@ -181,17 +192,20 @@
     play(scene)
 
 
-def test_sighup_moves_to_the_discovery_that_the_file_names(tmp_path: Path) -> None:
-    """The program ended on SIGHUP."""
+def test_sighup_switches_to_the_discovery_address_in_the_file(tmp_path: Path) -> None:
+    """SIGHUP must not end the program, and a malformed file must change nothing.
+
+    A valid file with another address of discovery replaces the watch and the list of hosts.
+    """
     async def scene() -> None:
         old, new = await FakeHost("h0").start(), await FakeHost("h1").start()
         first, second = await FakeDiscovery(tells=True).start(), await FakeDiscovery().start()
         config = write_config(tmp_path / "c", first, old)
-        program, where = await launch(tmp_path / "c")
-        client = await connect(where)
+        program, address = await launch(tmp_path / "c")
+        client = await connect(address)
         assert (await client.ask(request()))[0] == 200
         moved = json.dumps({**config, "discovery": second.address})
-        for text in ("{", moved):   # a broken file changes nothing
+        for text in ("{", moved):   # a malformed file changes nothing
             (tmp_path / "c").write_text(text)
             program.send_signal(signal.SIGHUP)
             assert program.stderr is not None
@@ -212,8 +226,8 @@
     play(scene)
 
 
-async def lines_until(program: asyncio.subprocess.Process, text: str) -> str:
-    """Read the program's log up to a line with this text."""
+async def read_log_until(program: asyncio.subprocess.Process, text: str) -> str:
+    """Read the program's log up to a line that contains this text; return the line."""
     assert program.stderr is not None
     while True:
         line = (await program.stderr.readline()).decode()
@@ -222,41 +236,46 @@
             return line
 
 
-def test_a_new_process_takes_over_and_nothing_is_turned_back(tmp_path: Path, free_port: int) -> None:
+def test_new_process_takes_over_without_a_failed_request(tmp_path: Path, free_port: int) -> None:
+    """During an upgrade two processes share the address, and the old one gets SIGTERM.
+
+    The new process must have a list before it listens, the old one must complete its requests, and files of killed
+    processes must neither count as a running process nor be left behind.
+    """
     async def scene() -> None:
         host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
         config = write_config(tmp_path / "c", discovery, host)
         (tmp_path / "gateway-127.0.0.1-0-leftover").touch()
         listen = f"127.0.0.1:{free_port}"
         (tmp_path / "c").write_text(json.dumps({**config, "listen": listen}))
-        old, where = await launch(tmp_path / "c", TMPDIR=str(tmp_path))
-        (tmp_path / f"gateway-127.0.0.1-{free_port}-leftover").write_bytes(b"serving\n")   # of a killed one
+        old, address = await launch(tmp_path / "c", TMPDIR=str(tmp_path))
+        (tmp_path / f"gateway-127.0.0.1-{free_port}-leftover").write_bytes(b"serving\n")   # left by a killed process
         _, watch = await discovery.calls.get()
-        busy, idle = await connect(where), await connect(where)
+        busy, idle = await connect(address), await connect(address)
         assert (await idle.ask(READY))[0] == 200
         busy.send(request())
         seen = await host.seen.get()
         launching = asyncio.ensure_future(launch(tmp_path / "c", TMPDIR=str(tmp_path)))
-        _, watch = await discovery.calls.get()   # the new one hears of the list before it listens
+        _, watch = await discovery.calls.get()   # the new process gets a list before it listens
         assert not launching.done()
         discovery.head(watch)
         discovery.line(watch, 42, [host.row()], reset=True)
-        new, again = await launching
-        assert again == where
+        new, new_address = await launching
+        assert new_address == address
         old.send_signal(signal.SIGTERM)
-        await lines_until(old, "another process takes the clients")
-        assert (await idle.ask(READY))[0] == 200   # the address still takes clients
-        late = await connect(where)
+        await read_log_until(old, "another process takes the clients")
+        assert (await idle.ask(READY))[0] == 200   # the address still accepts clients
+        late = await connect(address)
         late.send(request(rid="late"))
         (await host.seen.get()).reply()
         status, headers, _ = await late.answer()
-        assert (status, headers.get("connection")) == (200, None)   # by the new one
+        assert (status, headers.get("connection")) == (200, None)   # from the new process
         seen.reply()
         status, headers, _ = await busy.answer()
         assert (status, headers["connection"]) == (200, "close")
         busy.writer.close()
         assert await old.wait() == 0
-        await lines_until(new, "another process of this gateway has ended")
+        await read_log_until(new, "another process of this gateway has ended")
         new.send_signal(signal.SIGTERM)
         late.writer.close()
         assert await new.wait() == 0
@@ -265,22 +284,22 @@
     play(scene)
 
 
-def test_a_start_beside_another_process_leaves_it_most_of_the_time(tmp_path: Path) -> None:
-    """At full speed both went over their share of the core, and were stopped together."""
+def test_process_that_starts_while_another_serves_uses_little_cpu_time(tmp_path: Path) -> None:
+    """At full speed the two processes exceed their CPU quota and are throttled together."""
     other = Handover(("127.0.0.1", 7070), str(tmp_path))
     other.register()
-    begun, used = time.monotonic(), resource.getrusage(resource.RUSAGE_CHILDREN)
+    started_at, usage_before = time.monotonic(), resource.getrusage(resource.RUSAGE_CHILDREN)
     done = subprocess.run(COMMAND, cwd=ROOT, check=False, timeout=20, capture_output=True,
                           env={**os.environ, "EDGE_CONFIG": "", "TMPDIR": str(tmp_path)})
-    took, now = time.monotonic() - begun, resource.getrusage(resource.RUSAGE_CHILDREN)
-    assert done.returncode == 2   # it has started, and found nothing to be told
-    assert took > 2 * (now.ru_utime + now.ru_stime - used.ru_utime - used.ru_stime)
+    elapsed_s, usage_after = time.monotonic() - started_at, resource.getrusage(resource.RUSAGE_CHILDREN)
+    assert done.returncode == 2   # it has started, and found no configuration
+    assert elapsed_s > 2 * (usage_after.ru_utime + usage_after.ru_stime - usage_before.ru_utime - usage_before.ru_stime)
     other.close()
 
 
-def test_a_starting_process_tells_the_other_one_before_it_is_ready(tmp_path: Path,
-                                                                   monkeypatch: pytest.MonkeyPatch) -> None:
-    """The old one learnt of it half a second later, with all of the clients' connections full by then."""
+def test_starting_process_is_visible_to_the_other_one_before_it_is_ready(tmp_path: Path,
+                                                                         monkeypatch: pytest.MonkeyPatch) -> None:
+    """If the old process detects the new one half a second late, its client connections are all in use by then."""
     (tmp_path / "c").write_text(json.dumps({"listen": "127.0.0.1:7070"}))
     monkeypatch.setenv("EDGE_CONFIG", str(tmp_path / "c"))
     monkeypatch.delenv("EDGE_LISTEN", raising=False)
@@ -289,27 +308,28 @@
     serving = Handover(("127.0.0.1", 7070))
     serving.register()
     monkeypatch.setattr("gateway.__main__.PAUSE_FACTOR", 0)
-    told: list[bool] = []
-    real = importlib.import_module
+    visible: list[bool] = []
+    import_module = importlib.import_module
 
-    def step(name: str) -> ModuleType:
-        told.append(serving.other_running())
-        return real(name)
+    def import_and_check(name: str) -> ModuleType:
+        visible.append(serving.other_running())
+        return import_module(name)
 
     def main(handover: Handover) -> int:
-        told.append(serving.other_running())
+        visible.append(serving.other_running())
         handover.close()
         return 0
-    monkeypatch.setattr(importlib, "import_module", step)
+    monkeypatch.setattr(importlib, "import_module", import_and_check)
     monkeypatch.setattr(program, "main", main)
     assert start() == 0
-    assert told[0] is False          # at its first step
-    assert told[-2:] == [True, True]   # and without a gap, as the program takes the same file over
+    assert visible[0] is False          # before its first import
+    assert visible[-2:] == [True, True]   # without a gap: the program keeps using the same file
     serving.close()
 
 
 @pytest.mark.parametrize("taken", ["listen", "operator"])
-def test_an_address_that_is_taken_is_one_plain_line(taken: str, tmp_path: Path) -> None:
+def test_address_in_use_is_reported_in_one_line(taken: str, tmp_path: Path) -> None:
+    """The program must exit with status 1 and one line for the operator, not with a traceback."""
     with socket.create_server(("127.0.0.1", 0)) as other:
         path = tmp_path / "config.json"
         path.write_text(json.dumps({
@@ -321,14 +341,14 @@
     assert done.stderr.splitlines()[-1].startswith("gateway: can't listen: ")
 
 
-async def hup(program: asyncio.subprocess.Process) -> str:
-    """SIGHUP, and what the program says of it."""
+async def reload(program: asyncio.subprocess.Process) -> str:
+    """Send SIGHUP; return the log line about it."""
     program.send_signal(signal.SIGHUP)
-    return await lines_until(program, "SIGHUP")
+    return await read_log_until(program, "SIGHUP")
 
 
-async def operator_figures(port: int) -> dict[str, int]:
-    """The figures, from the operators' address."""
+async def read_operator_metrics(port: int) -> dict[str, int]:
+    """Read the metrics from the operators' address."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
     body = (await reader.read()).partition(b"\r\n\r\n")[2].decode()
@@ -336,33 +356,37 @@
     return {name: int(value) for name, _, value in (line.partition("=") for line in body.splitlines())}
 
 
-def test_classes_are_added_dropped_and_changed_at_sighup(tmp_path: Path, free_port: int) -> None:
+def test_request_classes_are_added_removed_and_changed_at_sighup(tmp_path: Path, free_port: int) -> None:
+    """A request that is open during the reload must be completed under the old settings.
+
+    Later requests must follow the new ones, and the counters of removed classes must stay.
+    """
     async def scene() -> None:
         host, discovery = await FakeHost(reply=None).start(), await FakeDiscovery(tells=True).start()
-        told = write_config(tmp_path / "c", discovery, host)
-        told["operator"] = f"127.0.0.1:{free_port}"
-        (tmp_path / "c").write_text(json.dumps(told))
-        program, where = await launch(tmp_path / "c")
-        early, client = await connect(where), await connect(where)
+        config = write_config(tmp_path / "c", discovery, host)
+        config["operator"] = f"127.0.0.1:{free_port}"
+        (tmp_path / "c").write_text(json.dumps(config))
+        program, address = await launch(tmp_path / "c")
+        early, client = await connect(address), await connect(address)
         early.send(request(rid="early"))
         seen = await host.seen.get()
         read, keyed, once = SETTINGS["request-classes"]
-        told["settings"] = {**SETTINGS, "request-classes": [
+        config["settings"] = {**SETTINGS, "request-classes": [
             {**keyed, "name": "new"}, {**once, "effect": "read_like"}]}
-        (tmp_path / "c").write_text(json.dumps(told))
-        assert "discovery is at" in await hup(program)
+        (tmp_path / "c").write_text(json.dumps(config))
+        assert "discovery is at" in await reload(program)
         seen.reply(LAST)
-        assert (await early.answer())[0] == 200   # it came under the old rules
-        assert (await client.ask(request(rid="r1")))[0] == 404          # dropped
-        assert (await client.ask(request("once", rid="r2")))[0] == 400   # safe now: it comes as GET
+        assert (await early.answer())[0] == 200   # received under the old settings
+        assert (await client.ask(request(rid="r1")))[0] == 404          # removed
+        assert (await client.ask(request("once", rid="r2")))[0] == 400   # safe now: must be sent as GET
         as_get = request("read", rid="r3", X_Priority_Class="once").replace(b"GET /read", b"GET /once")
         as_keyed = request("keyed", rid="r4", X_Priority_Class="new").replace(b"/keyed", b"/new")
         for data in (as_get, as_keyed):
             client.send(data)
             (await host.seen.get()).reply(LAST)
             assert (await client.answer())[0] == 200
-        figures = await operator_figures(free_port)
-        assert {name: figures[f"svc.{name}"] for name in (
+        metrics = await read_operator_metrics(free_port)
+        assert {name: metrics[f"svc.{name}"] for name in (
             "downstream_requests.read.completed", "downstream_requests.new.completed",
             "downstream_requests.once.completed", "config_reloads", "config_reload_errors")} == {
             "downstream_requests.read.completed": 1, "downstream_requests.new.completed": 1,
@@ -374,36 +398,40 @@
     play(scene)
 
 
-def test_a_file_that_is_not_right_is_turned_down_whole(tmp_path: Path, free_port: int) -> None:
+def test_invalid_file_at_sighup_changes_nothing(tmp_path: Path, free_port: int) -> None:
+    """A file with one invalid value must be rejected completely.
+
+    If a part of it took effect, the gateway would run with a mixture of old and new settings.
+    """
     async def scene() -> None:
         host, discovery = await FakeHost().start(), await FakeDiscovery(tells=True).start()
-        elsewhere = await FakeDiscovery().start()
-        told = write_config(tmp_path / "c", discovery, host)
-        told["operator"] = f"127.0.0.1:{free_port}"
-        (tmp_path / "c").write_text(json.dumps(told))
-        program, where = await launch(tmp_path / "c")
-        told["discovery"] = elsewhere.address
+        other_discovery = await FakeDiscovery().start()
+        config = write_config(tmp_path / "c", discovery, host)
+        config["operator"] = f"127.0.0.1:{free_port}"
+        (tmp_path / "c").write_text(json.dumps(config))
+        program, address = await launch(tmp_path / "c")
+        config["discovery"] = other_discovery.address
         rows, caps = SETTINGS["request-classes"], SETTINGS["caps"]
 
         def changed(**settings: Any) -> str:
-            return json.dumps({**told, "settings": {**SETTINGS, **settings}})
-        bad = ["", json.dumps(told)[:-30], "[]", json.dumps({**told, "settings": {}}),
-               json.dumps({key: value for key, value in told.items() if key != "discovery"}),
+            return json.dumps({**config, "settings": {**SETTINGS, **settings}})
+        bad = ["", json.dumps(config)[:-30], "[]", json.dumps({**config, "settings": {}}),
+               json.dumps({key: value for key, value in config.items() if key != "discovery"}),
                changed(caps={key: value for key, value in caps.items() if key != "max-attempts"}),
                changed(**{"request-classes": [rows[0], {**rows[1], "name": "read"}]})]
-        bad += [changed(**{"request-classes": [{key: rows[0][key] for key in rows[0] if key != lack}]})
-                for lack in rows[0]]
+        bad += [changed(**{"request-classes": [{key: rows[0][key] for key in rows[0] if key != missing}]})
+                for missing in rows[0]]
         for value in ("5", None, True, float("nan"), float("inf"), 0, -1, [3], 10 ** 400):
             bad += [changed(caps={**caps, "max-attempts": value}),
                     changed(**{"request-classes": [{**rows[0], "give-up-ns": value}, *rows[1:]]})]
         for text in bad:
             (tmp_path / "c").write_text(text)
-            assert "stays as it was: " in await hup(program), text
-        figures = await operator_figures(free_port)
-        assert (figures["svc.config_reloads"], figures["svc.config_reload_errors"]) == (0, len(bad))
-        client = await connect(where)
+            assert "stays as it was: " in await reload(program), text
+        metrics = await read_operator_metrics(free_port)
+        assert (metrics["svc.config_reloads"], metrics["svc.config_reload_errors"]) == (0, len(bad))
+        client = await connect(address)
         assert (await client.ask(request("once")))[0] == 200
-        assert elsewhere.calls.empty()
+        assert other_discovery.calls.empty()
         client.writer.close()
         program.send_signal(signal.SIGTERM)
         assert await program.wait() == 0
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -67,8 +67,8 @@
 # ---- Idle connections to hosts ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("unread", [b"", OK])
-def test_idle_connection_with_an_unread_eof_or_unread_bytes_is_not_reused(unread: bytes) -> None:
+@pytest.mark.parametrize("left", [b"", OK])
+def test_idle_connection_with_an_unread_eof_or_unread_bytes_is_not_reused(left: bytes) -> None:
     """An EOF or a stray response has arrived on an idle connection, but the gateway has not read it yet.
 
     A request sent there would be lost, or would get the stray response.
@@ -83,7 +83,7 @@
                 first.send(OK)
                 assert (await result)[0] is Outcome.OK
                 await rested()
-                first.send(unread) if unread else first.shutdown(socket.SHUT_WR)
+                first.send(left) if left else first.shutdown(socket.SHUT_WR)
                 _, result = bench.start()   # in the same event-loop iteration: not read by the gateway yet
                 second, _ = await loop.sock_accept(listener)
                 with second:
@@ -258,8 +258,8 @@
     return sock
 
 
-@pytest.mark.parametrize("reason", ["idle", "drain", "room"])
-def test_request_that_arrives_as_an_idle_connection_is_closed_is_answered(reason: str) -> None:
+@pytest.mark.parametrize("close", ["idle", "drain", "room"])
+def test_request_that_arrives_as_an_idle_connection_is_closed_is_answered(close: str) -> None:
     """The gateway closes an idle connection while its next request is in the kernel's receive buffer.
 
     A close would reset the connection, and the client would not know whether the request ran.
@@ -269,12 +269,12 @@
             await stage.begin(FakeHost())
             server = stage.gateway.server
             with await client_with_unread_request(stage, "r") as sock:
-                if reason == "room":
+                if close == "room":
                     server.max_connections = 1
                     server.add_connection(server.new_connection())
                 else:
-                    server.draining = reason == "drain"
-                    server.sweep(now_ns() + (DRAIN_IDLE_TIMEOUT_NS if reason == "drain" else IDLE_TIMEOUT_NS) + MS)
+                    server.draining = close == "drain"
+                    server.sweep(now_ns() + (DRAIN_IDLE_TIMEOUT_NS if close == "drain" else IDLE_TIMEOUT_NS) + MS)
                 assert (await asyncio.get_running_loop().sock_recv(sock, 1000)).startswith(b"HTTP/1.1 200")
     play(scene)
 
