--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -14,7 +14,7 @@
 from gateway.server import HEAD_TIMEOUT_NS
 from gateway.timers import now_ns
 from tests.sockets import OK, Client, FakeHost, Stage, play, request, rested, until
-from tests.test_operations import HEALTH, OPERATOR, figures
+from tests.test_operations import HEALTH_REQUEST, OPERATOR_CONFIG, read_metrics
 from tests.test_server import Sends
 
 LONG = bytes(range(256)) * 8192   # 2 MB
@@ -56,7 +56,7 @@
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost()
-            await stage.begin(host, told=OPERATOR)
+            await stage.begin(host, told=OPERATOR_CONFIG)
             client = await stage.client()
             for number in range(2):   # the connections can be used again
                 assert (await client.ask(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
@@ -64,7 +64,7 @@
                 assert (seen.body, seen.headers["content-length"]) == (LONG, str(len(LONG)))
                 await rested()
             assert host.connections == 1
-            told = await figures(stage)
+            told = await read_metrics(stage)
             assert (told["upstream_requests"], told["downstream_requests.keyed.completed"]) == (2, 2)
     play(scene)
 
@@ -144,7 +144,7 @@
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
+            await stage.begin(host, told=OPERATOR_CONFIG)
             client = await stage.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             seen = await host.seen.get()
@@ -164,7 +164,7 @@
             else:
                 assert b"connection: close" in told
                 assert await client.reader.read(-1) == LONG
-            assert (await figures(stage))["downstream_requests.read.completed"] == 1
+            assert (await read_metrics(stage))["downstream_requests.read.completed"] == 1
     play(scene)
 
 
@@ -193,7 +193,7 @@
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
+            await stage.begin(host, told=OPERATOR_CONFIG)
             client = await stage.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             seen = await host.seen.get()
@@ -209,7 +209,7 @@
                     assert version == b"1.1"
                 else:
                     await read_chunks(client.reader)
-            assert (await figures(stage))["downstream_requests.read.failed"] == 1
+            assert (await read_metrics(stage))["downstream_requests.read.failed"] == 1
     play(scene)
 
 
@@ -228,7 +228,7 @@
             await until(lambda: bool(conn._write_blocked_since))
             assert conn.transport is not None
             assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest waits at the host
-            assert (await (await stage.client()).ask(HEALTH))[0] == 200
+            assert (await (await stage.client()).ask(HEALTH_REQUEST))[0] == 200
             await head(client)
             assert await client.reader.readexactly(len(long)) == long
     play(scene)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,7 +18,7 @@
 from tests.sockets import FakeHost, Stage, play, request, until
 from tests.test_server import Fails, Refuses
 
-OPERATOR = {"operator": "127.0.0.1:0"}
+OPERATOR_CONFIG = {"operator": "127.0.0.1:0"}
 
 
 async def call(stage: Stage, data: bytes) -> tuple[int, bytes]:
@@ -31,7 +31,7 @@
     return int(head.split()[1]), body
 
 
-async def figures(stage: Stage) -> dict[str, int]:
+async def read_metrics(stage: Stage) -> dict[str, int]:
     """Read the metrics by name."""
     status, body = await call(stage, b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n")
     assert status == 200
@@ -43,7 +43,7 @@
     """Load balancers send no clients to a gateway that is not reported as ready."""
     async def scene() -> None:
         async with Stage() as stage:
-            await stage.begin(FakeHost(), told=OPERATOR)
+            await stage.begin(FakeHost(), told=OPERATOR_CONFIG)
             assert (await call(stage, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
     play(scene)
 
@@ -71,7 +71,7 @@
     """Unknown paths, malformed, too long and incomplete requests must be answered and their connections closed."""
     async def scene() -> None:
         async with Stage() as stage:
-            await stage.begin(FakeHost(), told=OPERATOR)
+            await stage.begin(FakeHost(), told=OPERATOR_CONFIG)
             assert (await call(stage, data))[0] == status
     play(scene)
 
@@ -80,10 +80,10 @@
     """Connections that never send a request use up the maximum; a new one must still be served."""
     async def scene() -> None:
         async with Stage() as stage:
-            await stage.begin(FakeHost(), told=OPERATOR)
+            await stage.begin(FakeHost(), told=OPERATOR_CONFIG)
             silent = [await asyncio.open_connection(*stage.gateway.operator_address)
                       for _ in range(2 * MAX_OPERATOR_CONNECTIONS)]
-            assert (await figures(stage))["pending"] == 0
+            assert (await read_metrics(stage))["pending"] == 0
             for _, writer in silent:
                 writer.close()
     play(scene)
@@ -94,18 +94,18 @@
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
+            await stage.begin(host, told=OPERATOR_CONFIG)
             client = await stage.client()
-            before = await figures(stage)
+            before = await read_metrics(stage)
             assert before["downstream_requests.read.completed"] == before["pending"] == 0
             assert (before["members"], before["members_unavailable"]) == (1, 0)
             client.send(request())
             seen = await host.seen.get()
-            during = await figures(stage)
+            during = await read_metrics(stage)
             assert (during["pending"], during["upstream_requests"]) == (1, 1)
             seen.reply()
             assert (await client.answer())[0] == 200
-            after = await figures(stage)
+            after = await read_metrics(stage)
             assert (after["downstream_requests.read.completed"], after["pending"]) == (1, 0)
             assert after["downstream_requests.once.completed"] == 0
     play(scene)
@@ -116,9 +116,9 @@
     """A rejection by the gateway and a failure must each change one counter, and only that one."""
     async def scene() -> None:
         async with Stage() as stage:
-            await stage.begin(FakeHost(), make=make, told=OPERATOR)
+            await stage.begin(FakeHost(), make=make, told=OPERATOR_CONFIG)
             await (await stage.client()).ask(request("once"))
-            metrics = await figures(stage)
+            metrics = await read_metrics(stage)
             assert {key: metrics[f"downstream_requests.once.{key}"]
                     for key in ("completed", "rejected", "failed")} == {
                 "completed": 0, "rejected": 0, "failed": 0, name: 1}
@@ -130,15 +130,15 @@
     async def scene() -> None:
         async with Stage() as stage:
             here, leaving = await FakeHost("h0").start(), await FakeHost("h1").start()
-            await stage.begin(rows=[here.row(), leaving.row("terminating")], told=OPERATOR)
-            metrics = await figures(stage)
+            await stage.begin(rows=[here.row(), leaving.row("terminating")], told=OPERATOR_CONFIG)
+            metrics = await read_metrics(stage)
             assert (metrics["members"], metrics["members_unavailable"]) == (2, 1)
     play(scene)
 
 
 START_DRAIN = b"POST /_lameduck/on HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
 STOP_DRAIN = START_DRAIN.replace(b"/on ", b"/off ")
-HEALTH = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+HEALTH_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 READY = b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -150,15 +150,15 @@
     async def scene() -> None:
         async with Stage() as stage:
             host = FakeHost(reply=None)
-            await stage.begin(host, told=OPERATOR)
+            await stage.begin(host, told=OPERATOR_CONFIG)
             idle, busy, new = await stage.client(), await stage.client(), await stage.client()
-            assert (await idle.ask(HEALTH))[0] == 200
+            assert (await idle.ask(HEALTH_REQUEST))[0] == 200
             busy.send(request())
             seen = await host.seen.get()
             for _ in range(2):   # the second call changes nothing
                 assert (await call(stage, START_DRAIN))[0] == 200
             assert (await call(stage, READY))[0] == 503
-            status, headers, _ = await new.ask(HEALTH)
+            status, headers, _ = await new.ask(HEALTH_REQUEST)
             assert (status, headers["connection"]) == (503, "close")
             stage.gateway.server.sweep(now_ns() + DRAIN_IDLE_TIMEOUT_NS + MS)
             assert await idle.reader.read() == b""
@@ -173,7 +173,7 @@
     """A connection closed at once could be reset while its next request is in transit."""
     async def scene() -> None:
         async with Stage() as stage:
-            await stage.begin(FakeHost(), told=OPERATOR)
+            await stage.begin(FakeHost(), told=OPERATOR_CONFIG)
             client = await stage.client()
             assert (await client.ask(request()))[0] == 200
             await call(stage, START_DRAIN)
@@ -187,13 +187,13 @@
     """After the end of a drain connections stay open again; a drain that belongs to a shutdown can't be ended."""
     async def scene() -> None:
         async with Stage() as stage:
-            await stage.begin(FakeHost(), told=OPERATOR)
+            await stage.begin(FakeHost(), told=OPERATOR_CONFIG)
             await call(stage, START_DRAIN)
             for _ in range(2):
                 assert (await call(stage, STOP_DRAIN))[0] == 200
             assert (await call(stage, READY))[0] == 200
             client = await stage.client()
-            for ask in (HEALTH, request(), request(rid="r2")):
+            for ask in (HEALTH_REQUEST, request(), request(rid="r2")):
                 status, headers, _ = await client.ask(ask)
                 assert (status, headers.get("connection")) == (200, None)
             stage.gateway.stop()
