--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -53,7 +53,7 @@
     {"weight": float("inf")}, {"instanceId": 7}, {"cell": "x"}, {"startedAtMs": -1},
 ])
 def test_malformed_instance_is_dropped_and_the_others_are_used(change: dict[str, Any]) -> None:
-    """One malformed instance of an unknown host must not make the whole update unusable."""
+    """One malformed instance of an unknown host must not make the update unusable."""
     _, _, listed = UpdateParser(["a", "b"], ["m1", "m2"], StartTimes()).parse(
         {"generation": 41, "instances": [{**ROW, **change}, {**ROW, "instanceId": "h1"}, None]})
     assert [item.entry.host for item in listed] == ["h1"]
--- a/tests/test_incident_27.py
+++ b/tests/test_incident_27.py
@@ -37,7 +37,7 @@
 def run_faults(shim: Path, faults: list[Fault], *, seed: int = 1, pushed: bool = True, **overrides: Any) -> Played:
     """Run one gateway, four hosts and forty clients with these faults and a drain grace of 1 s."""
     plan: dict[str, Any] = {"gateways": 1, "hosts": 4, "clients": 40, "pause": 0.03, "grace": 1.0, "patience": 1.0,
-                             "leaves": 0.0, "lasts": max(fault.at + fault.lasts for fault in faults) + 2.5}
+                            "leaves": 0.0, "lasts": max(fault.at + fault.lasts for fault in faults) + 2.5}
     result: Played = uvloop.run(play(Plan(seed=seed, pushed=pushed, faults=faults, **(plan | overrides)), shim))
     return result
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -68,7 +68,7 @@
     (408, b"GET /_vars HTT"),
 ])
 def test_invalid_operator_request_gets_an_error_and_a_close(status: int, data: bytes) -> None:
-    """Unknown paths, malformed, too long and incomplete requests must be answered and their connections closed."""
+    """Unknown paths, malformed, oversized and incomplete requests must be answered and their connections closed."""
     async def scene() -> None:
         async with Stage() as stage:
             await stage.begin(FakeHost(), told=OPERATOR_CONFIG)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -27,7 +27,7 @@
 
 ROOT = Path(__file__).parent.parent
 COMMAND = [sys.executable, "-B", "-m", "gateway"]
-LAST = OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
+CLOSING_RESPONSE = OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -60,7 +60,7 @@
     return Client(*await asyncio.open_connection(*address))
 
 
-async def served(address: tuple[str, int]) -> Client:
+async def connect_until_served(address: tuple[str, int]) -> Client:
     """Connect until a client's request is served, and return that client."""
     while True:
         client = await connect(address)
@@ -166,7 +166,7 @@
         discovery.line(writer, 42, [host.row()], reset=True)
         operator = await connect(("127.0.0.1", free_port))
         assert (await operator.ask(b"GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-        await served(address)   # the idle clients are still connected
+        await connect_until_served(address)   # the idle clients are still connected
         for sock in idle_socks:
             sock.close()
         server.close()
@@ -184,7 +184,7 @@
         clients = [await connect(address) for _ in range(80)]
         for client in clients:
             client.writer.close()
-        client = await served(address)   # served as soon as the gateway notices that the others have left
+        client = await connect_until_served(address)   # served as soon as the gateway notices that the others have left
         assert program.returncode is None
         program.send_signal(signal.SIGTERM)
         client.writer.close()
@@ -375,7 +375,7 @@
             {**keyed, "name": "new"}, {**once, "effect": "read_like"}]}
         (tmp_path / "c").write_text(json.dumps(config))
         assert "discovery is at" in await reload(program)
-        seen.reply(LAST)
+        seen.reply(CLOSING_RESPONSE)
         assert (await early.answer())[0] == 200   # received under the old settings
         assert (await client.ask(request(rid="r1")))[0] == 404          # removed
         assert (await client.ask(request("once", rid="r2")))[0] == 400   # safe now: must be sent as GET
@@ -383,7 +383,7 @@
         as_keyed = request("keyed", rid="r4", X_Priority_Class="new").replace(b"/keyed", b"/new")
         for data in (as_get, as_keyed):
             client.send(data)
-            (await host.seen.get()).reply(LAST)
+            (await host.seen.get()).reply(CLOSING_RESPONSE)
             assert (await client.answer())[0] == 200
         metrics = await read_operator_metrics(free_port)
         assert {name: metrics[f"svc.{name}"] for name in (
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -166,8 +166,8 @@
         async with Stage() as stage:
             host = FakeHost()
             await stage.begin(host, rows=[])
-            first, writer = await stage.discovery.calls.get()
-            assert "watch=1" in first
+            request_line, writer = await stage.discovery.calls.get()
+            assert "watch=1" in request_line
             client = await stage.client()
             client.send(b"".join(request(rid=f"r{number}") for number in range(request_count)))
             await until(lambda: stage.gateway.server.pending == request_count)   # no host: the requests wait
