--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -17,7 +17,7 @@
 from gateway.server import HEAD_TIMEOUT_NS
 from gateway.timers import now_ns
 from tests.sockets import OK, Client, FakeHost, GatewayHarness, request, run_scenario, wait_until, wait_until_reusable
-from tests.test_operations import HEALTH, OPERATOR, figures
+from tests.test_operations import HEALTH_REQUEST, OPERATOR_CONFIG, read_metrics
 from tests.test_server import Sends
 
 LONG = bytes(range(256)) * 8192   # 2 MB
@@ -59,7 +59,7 @@
     async def scenario() -> None:
         async with GatewayHarness() as harness:
             host = FakeHost()
-            await harness.start(host, config=OPERATOR)
+            await harness.start(host, config=OPERATOR_CONFIG)
             client = await harness.client()
             for number in range(2):   # twice: both connections can be reused
                 assert (await client.fetch(request("keyed", rid=f"r{number}", body=LONG)))[0] == 200
@@ -67,7 +67,7 @@
                 assert (seen.body, seen.headers["content-length"]) == (LONG, str(len(LONG)))
                 await wait_until_reusable()
             assert host.connections == 1
-            metrics = await figures(harness)
+            metrics = await read_metrics(harness)
             assert (metrics["upstream_requests"], metrics["downstream_requests.keyed.completed"]) == (2, 2)
     run_scenario(scenario)
 
@@ -149,7 +149,7 @@
     async def scenario() -> None:
         async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await harness.start(host, config=OPERATOR)
+            await harness.start(host, config=OPERATOR_CONFIG)
             client = await harness.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             seen = await host.received.get()
@@ -169,7 +169,7 @@
             else:
                 assert b"connection: close" in response_head
                 assert await client.reader.read(-1) == LONG
-            assert (await figures(harness))["downstream_requests.read.completed"] == 1
+            assert (await read_metrics(harness))["downstream_requests.read.completed"] == 1
     run_scenario(scenario)
 
 
@@ -202,7 +202,7 @@
     async def scenario() -> None:
         async with GatewayHarness() as harness:
             host = FakeHost(response=None)
-            await harness.start(host, config=OPERATOR)
+            await harness.start(host, config=OPERATOR_CONFIG)
             client = await harness.client()
             client.send(request().replace(b"HTTP/1.1", b"HTTP/" + version))
             seen = await host.received.get()
@@ -218,7 +218,7 @@
                     assert version == b"1.1"
                 else:
                     await read_chunks(client.reader)
-            assert (await figures(harness))["downstream_requests.read.failed"] == 1
+            assert (await read_metrics(harness))["downstream_requests.read.failed"] == 1
     run_scenario(scenario)
 
 
@@ -238,7 +238,7 @@
             await wait_until(lambda: bool(conn._write_blocked_since))
             assert conn.transport is not None
             assert conn.transport.get_write_buffer_size() <= 3 * MAX_REPLAY_BYTES   # the rest stays at the host
-            assert (await (await harness.client()).fetch(HEALTH))[0] == 200
+            assert (await (await harness.client()).fetch(HEALTH_REQUEST))[0] == 200
             await read_head(client)
             assert await client.reader.readexactly(len(long)) == long
     run_scenario(scenario)
