--- a/moleworks/cli/registry.py
+++ b/moleworks/cli/registry.py
@@ -40,15 +40,15 @@
     import uvloop
 
     from moleworks.registry.expiry import Limits
-    from moleworks.registry.http import Http
-    from moleworks.registry.http import serve as serving
+    from moleworks.registry.http import RegistryApp
+    from moleworks.registry.http import serve as serve_registry
     from moleworks.store.client import Client
     where = address(listen, "--listen")
     asked = members(store)
 
     async def main() -> None:
         async with Client(asked, cluster, 3.0) as client:
-            task = asyncio.ensure_future(serving(Http(client, name, Limits(share), bound), where))
+            task = asyncio.ensure_future(serve_registry(RegistryApp(client, name, Limits(share), bound), where))
             for number in (signal.SIGTERM, signal.SIGINT):
                 asyncio.get_running_loop().add_signal_handler(number, task.cancel)
             with contextlib.suppress(asyncio.CancelledError):
--- a/moleworks/registry/__init__.py
+++ b/moleworks/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list service: which hosts there are, in versions, and those who read and write it."""
+"""The list service: a versioned list of hosts, its HTTP interface, its clients and the prober."""
--- a/moleworks/registry/expiry.py
+++ b/moleworks/registry/expiry.py
@@ -1,4 +1,4 @@
-"""Which hosts have fallen silent, and whether that may be believed.  No I/O; the caller's monotonic `now`, ns."""
+"""Decides which silent hosts expire and which are doubtful.  No I/O; `now` is the caller's monotonic time, ns."""
 
 from __future__ import annotations
 
@@ -8,17 +8,21 @@
 
 from .mirror import Host
 
-BLIND = 1_000_000_000
-"""ns: a mirror older than this has missed heartbeats."""
+MAX_MIRROR_AGE_NS = 1_000_000_000
+"""A mirror older than this may have missed heartbeats."""
 
 
 class Limits(Struct, frozen=True):
-    """Past `share` of a zone's registered hosts silent at once (and more than `least`) nobody leaves: they are doubted.
+    """Limits for expiry within a zone.
 
-    At once: for half of their lease, or gone within one.  Else a zone whose beats are all lost would leave by twos.
+    If more than `share` of a zone's registered hosts (and more than `least`) are missing at the same time, no host of
+    the zone expires: the silent ones are doubtful and stay in the list.
 
-    A quarter: a zone of 8 may lose one or two machines in a lease, not three; the half of all whose beats are lost
-    stays.
+    A host counts as missing once it has been silent for half of its TTL, and for one TTL after it expired.  Without
+    this a zone that loses all its heartbeats would expire two hosts at a time.
+
+    With a share of 0.25 a zone of 8 may lose one or two machines within a TTL, but not three.  A zone that loses the
+    heartbeats of half of its hosts keeps them.
     """
 
     share: float = 0.25
@@ -26,64 +30,64 @@
 
 
 class Expiry:
-    """What one process has seen of sessions since it took the duty; nothing of before counts."""
+    """Last heartbeats of all sessions as seen since this process acquired the duty; earlier silence is ignored."""
 
     def __init__(self, now: int, hosts: Mapping[str, Host], limits: Limits) -> None:
         self._limits = limits
-        self._blind = False
-        self._doubted: dict[str, int] = {}     # zones, when they last were
-        self._gone: dict[str, tuple[str, int, int]] = {}     # zone, when, lease
-        self._seen: dict[str, int] = {host.session: now for host in hosts.values() if host.session}
-
-    def sees(self, now: int, age: int) -> bool:
-        """Whether the store is heard of; what it did not tell meanwhile is no host's silence, so all begin anew."""
-        if age > BLIND:
-            self._blind = True
-        elif self._blind:
-            self._blind = False
-            self._seen = dict.fromkeys(self._seen, now)
-        return not self._blind
-
-    def beat(self, now: int, sessions: Iterable[str]) -> None:
-        """Sessions that were renewed, as seen now."""
+        self._view_outdated = False
+        self._doubted_at: dict[str, int] = {}     # by zone: when it last exceeded its limit
+        self._recently_expired: dict[str, tuple[str, int, int]] = {}     # by name: zone, time, TTL
+        self._last_seen: dict[str, int] = {host.session: now for host in hosts.values() if host.session}
+
+    def has_current_view(self, now: int, age: int) -> bool:
+        """Whether the mirror is current.  After an outage of the store all hosts' silence is counted from scratch."""
+        if age > MAX_MIRROR_AGE_NS:
+            self._view_outdated = True
+        elif self._view_outdated:
+            self._view_outdated = False
+            self._last_seen = dict.fromkeys(self._last_seen, now)
+        return not self._view_outdated
+
+    def on_heartbeats(self, now: int, sessions: Iterable[str]) -> None:
+        """Record the heartbeats of these sessions as of `now`."""
         for session in sessions:
-            self._seen[session] = now
+            self._last_seen[session] = now
 
     def decide(self, now: int, hosts: Mapping[str, Host]) -> tuple[list[str], list[str]]:
-        """Who leaves the list, and who is doubtful, by name."""
+        """Names of the hosts that expire and of those that are doubtful."""
         silent: dict[str, list[str]] = {}
         zones: dict[str, int] = {}
-        falling: dict[str, set[str]] = {}      # silent for half of it, or gone a short while ago
-        for name, (zone, at, ttl) in list(self._gone.items()):
+        missing: dict[str, set[str]] = {}      # by zone: silent for half of the TTL, or recently expired
+        for name, (zone, at, ttl) in list(self._recently_expired.items()):
             if now - at > ttl:
-                del self._gone[name]
+                del self._recently_expired[name]
             else:
-                falling.setdefault(zone, set()).add(name)
+                missing.setdefault(zone, set()).add(name)
         current = set()
         for name, host in hosts.items():
             if not host.session:
                 continue
-            zones[host.row.zone] = zones.get(host.row.zone, 0) + 1     # of those that can fall silent
+            zones[host.row.zone] = zones.get(host.row.zone, 0) + 1     # only hosts with a session can fall silent
             current.add(host.session)
-            quiet, ttl = now - self._seen.setdefault(host.session, now), host.ttl_ms * 1_000_000
-            if quiet > ttl // 2:
-                falling.setdefault(host.row.zone, set()).add(name)
-            if quiet > ttl:
+            silence, ttl = now - self._last_seen.setdefault(host.session, now), host.ttl_ms * 1_000_000
+            if silence > ttl // 2:
+                missing.setdefault(host.row.zone, set()).add(name)
+            if silence > ttl:
                 silent.setdefault(host.row.zone, []).append(name)
-        for session in [session for session in self._seen if session not in current]:
-            del self._seen[session]
-        leave: list[str] = []
+        for session in [session for session in self._last_seen if session not in current]:
+            del self._last_seen[session]
+        expired: list[str] = []
         doubtful: list[str] = []
         for zone, names in silent.items():
-            most = max(self._limits.least, int(zones[zone] * self._limits.share))
-            if len(falling[zone]) > most:
-                self._doubted[zone] = now
+            max_missing = max(self._limits.least, int(zones[zone] * self._limits.share))
+            if len(missing[zone]) > max_missing:
+                self._doubted_at[zone] = now
                 doubtful += names
                 continue
-            for name in names:     # where many come back, the last of them are not dead yet
-                if now - self._doubted.get(zone, -(1 << 62)) <= hosts[name].ttl_ms * 1_000_000:
+            for name in names:     # while a zone recovers, its last silent hosts may still return
+                if now - self._doubted_at.get(zone, -(1 << 62)) <= hosts[name].ttl_ms * 1_000_000:
                     doubtful.append(name)
                     continue
-                leave.append(name)
-                self._gone.setdefault(name, (zone, now, hosts[name].ttl_ms * 1_000_000))
-        return leave, sorted(doubtful)
+                expired.append(name)
+                self._recently_expired.setdefault(name, (zone, now, hosts[name].ttl_ms * 1_000_000))
+        return expired, sorted(doubtful)
--- a/moleworks/registry/lists.py
+++ b/moleworks/registry/lists.py
@@ -1,4 +1,4 @@
-"""A client of the list for programs of the fleet: several services, any of which may be down, behind, or lie."""
+"""Client of the list service.  Any of the services may be down, out of date or send invalid lists."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 log = logs.get("registry.lists")
 
 PATH = "/registry/instances"
-SILENT_S = 3.0
-"""A watch that has been silent for so long is dead: a beat comes every 2 s."""
-FIRST_S = 4.0
-MAX_LINE = 16 << 20
-PAUSE_S, PAUSE_MOST_S = 0.1, 5.0
+WATCH_SILENCE_TIMEOUT_S = 3.0
+"""A watch that is silent for longer is lost: services send a heartbeat every 2 s."""
+FIRST_LINE_TIMEOUT_S = 4.0
+MAX_LINE_BYTES = 16 << 20
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 5.0
 
 
 class Wrong(Exception):
-    """What came can't be taken for a list."""
+    """A service sent something that can't be used as a list."""
 
 
 class Lists:
-    """The newest list that was heard, and its changes."""
+    """Follows the list: holds the newest version received from any service."""
 
     def __init__(self, addresses: Sequence[tuple[str, int]]) -> None:
         self._addresses = list(addresses)
@@ -37,15 +37,15 @@
         self.rows: dict[str, Row] = {}
 
     def take(self, text: bytes) -> Line:
-        """One line.  Raises Wrong: an older list is never taken for a newer one, nor an empty one for an order."""
+        """Apply one line of a watch.  Raises Wrong, for instance for an older list or an empty full list."""
         try:
             line = LINE.decode(text)
         except msgspec.DecodeError as error:
             raise Wrong(str(error)) from None
         if line.generation < self.generation:
-            raise Wrong(f"a list of version {line.generation} after {self.generation}")
+            raise Wrong(f"version {line.generation} is older than the current version {self.generation}")
         if line.reset and not line.instances and self.rows:
-            raise Wrong("a list without hosts")
+            raise Wrong("the full list is empty")
         if line.reset:
             self.rows = {}
         applied(self.rows, line.instances)
@@ -53,38 +53,38 @@
         return line
 
     async def watch(self) -> AsyncIterator[Line]:
-        """Lists and changes as they come, from service to service, for ever."""
-        pause = PAUSE_S
+        """Yield updates as they arrive; goes on with the next service whenever a watch fails."""
+        backoff_s = MIN_BACKOFF_S
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=2.0)
-        async with aiohttp.ClientSession(timeout=timeout, read_bufsize=MAX_LINE) as session:
+        async with aiohttp.ClientSession(timeout=timeout, read_bufsize=MAX_LINE_BYTES) as session:
             while True:
                 host, port = self._addresses[0]
                 try:
-                    async for line in self._one(session, f"http://{host}:{port}{PATH}"):
-                        pause = PAUSE_S
+                    async for line in self._watch_once(session, f"http://{host}:{port}{PATH}"):
+                        backoff_s = MIN_BACKOFF_S
                         yield line
-                    why = "it has ended"
+                    why = "the response has ended"
                 except (aiohttp.ClientError, OSError, TimeoutError, ValueError, Wrong) as error:
                     why = f"{type(error).__name__}: {error}"
                 log.info("list_elsewhere", service=f"{host}:{port}", why=why)
                 self._addresses.append(self._addresses.pop(0))
-                await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-                pause = min(PAUSE_MOST_S, pause * 2)
+                await asyncio.sleep(backoff_s * random.uniform(0.5, 1.5))
+                backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
 
-    async def _one(self, session: aiohttp.ClientSession, url: str) -> AsyncIterator[Line]:
-        async with asyncio.timeout(FIRST_S):
-            answer = await session.get(url, params={"watch": "1", "from": str(self.generation)})
+    async def _watch_once(self, session: aiohttp.ClientSession, url: str) -> AsyncIterator[Line]:
+        async with asyncio.timeout(FIRST_LINE_TIMEOUT_S):
+            response = await session.get(url, params={"watch": "1", "from": str(self.generation)})
         try:
-            if answer.status != 200:
-                raise Wrong(f"answer {answer.status}")
-            wait = FIRST_S
+            if response.status != 200:
+                raise Wrong(f"HTTP status {response.status}")
+            line_timeout_s = FIRST_LINE_TIMEOUT_S
             while True:
-                async with asyncio.timeout(wait):
-                    text = await answer.content.readline()
-                wait = SILENT_S
+                async with asyncio.timeout(line_timeout_s):
+                    text = await response.content.readline()
+                line_timeout_s = WATCH_SILENCE_TIMEOUT_S
                 if not text.endswith(b"\n"):
-                    raise Wrong("the answer ends inside a line")
+                    raise Wrong("the response was truncated within a line")
                 if text.strip():
                     yield self.take(text)
         finally:
-            answer.close()
+            response.close()
--- a/moleworks/registry/mirror.py
+++ b/moleworks/registry/mirror.py
@@ -1,4 +1,4 @@
-"""The list as a service has it: rows with versions, what changed between two, and its greatest age.  No I/O."""
+"""A service's copy of the list: rows, the changes between versions, and an upper bound of its age.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 import msgspec
 from msgspec import Struct
 
-from .rows import ENCODE, Line, Row, gone
+from .rows import ENCODE, Line, Row, terminated_row
 
-HOSTS, BEATS, DOUBT = "reg/hosts/", "reg/beats/", "reg/doubt"
-KEPT = 4096
-"""Changes that a watch can start from; one that is further back gets the whole list."""
-CACHED = 64
-"""Lines that are kept for others who ask the same."""
+HOSTS, HEARTBEATS_PREFIX, DOUBTFUL_KEY = "reg/hosts/", "reg/beats/", "reg/doubt"
+MAX_CHANGES = 4096
+"""Changes that are retained; a watch that resumes from an older version gets the full list."""
+MAX_CACHED_LINES = 64
+"""Encoded updates that are cached for readers at the same version."""
 
 
 class Host(Struct, frozen=True):
-    """A record under `reg/hosts/`.  Without a session an operator has put it, and it does not expire."""
+    """A record under `reg/hosts/`.  A host without a session was added by an operator and does not expire."""
 
     row: Row
     session: str = ""
@@ -26,28 +26,28 @@
     v: int = 1
 
 
-class Beats(Struct, frozen=True):
-    """A record under `reg/beats/`: sessions that were renewed with this service since its last one."""
+class Heartbeats(Struct, frozen=True):
+    """A record under `reg/beats/`: sessions that one service has renewed since its previous record."""
 
     number: int
     sessions: list[str]
     v: int = 1
 
 
-class Doubt(Struct, frozen=True):
-    """The record `reg/doubt`: hosts that are silent and stay, as too many are."""
+class DoubtfulHosts(Struct, frozen=True):
+    """The record `reg/doubt`: silent hosts that stay in the list because too many are silent at the same time."""
 
     hosts: list[str]
     v: int = 1
 
 
-HOST: msgspec.json.Decoder[Host] = msgspec.json.Decoder(Host)
-BEATS_OF: msgspec.json.Decoder[Beats] = msgspec.json.Decoder(Beats)
-DOUBT_OF: msgspec.json.Decoder[Doubt] = msgspec.json.Decoder(Doubt)
+HOST_DECODER: msgspec.json.Decoder[Host] = msgspec.json.Decoder(Host)
+HEARTBEATS_DECODER: msgspec.json.Decoder[Heartbeats] = msgspec.json.Decoder(Heartbeats)
+DOUBTFUL_DECODER: msgspec.json.Decoder[DoubtfulHosts] = msgspec.json.Decoder(DoubtfulHosts)
 
 
 class Mirror:
-    """Rows as of a version."""
+    """The hosts of one version and the recent changes that led to it."""
 
     def __init__(self) -> None:
         self.generation = 0
@@ -55,62 +55,62 @@
         self.revisions: dict[str, int] = {}
         self.doubtful: list[str] = []
         self._changes: deque[tuple[int, Row]] = deque()
-        self._first = 0          # a watch from an older version than this gets everything
-        self._lines: OrderedDict[tuple[int, bool], bytes] = OrderedDict()
-        self.joined = 0          # lines that were made; the others were sent again
-        self._fresh = -(1 << 62)
-        self._asked: tuple[int, int] | None = None     # when it was sent, and the revision that it must come to
+        self._first_version = 0     # a watch from an older version gets the full list
+        self._line_cache: OrderedDict[tuple[int, bool], bytes] = OrderedDict()
+        self.lines_encoded = 0      # updates that were encoded; all others came from the cache
+        self._fresh_at = -(1 << 62)
+        self._pending_query: tuple[int, int] | None = None     # (time sent, revision to reach)
 
-    # ---- What the store tells ----------------------------------------------------------------------------
+    # ---- Changes from the store --------------------------------------------------------------------------
 
     def begin(self, hosts: dict[str, tuple[int, Host]], revision: int) -> None:
-        """All records as of a revision.  Where there was a list before, watches go on with the difference."""
-        if self.generation > revision:      # a store that has gone back: versions must not
-            raise ValueError(f"the store is at revision {revision}, the list is at version {self.generation}")
+        """Load all records as of a revision.  Watches of an earlier list continue with the difference."""
+        if self.generation > revision:      # versions must not decrease, even if the store was reset
+            raise ValueError(f"the store went back to revision {revision}; the list is at version {self.generation}")
         old = {name: host.row for name, host in self.hosts.items()}
-        fresh = {name: host.row for name, (_, host) in hosts.items()}
+        new = {name: host.row for name, (_, host) in hosts.items()}
         for name, row in old.items():
-            if name not in fresh:
-                self._note(revision, gone(row))
-        for name, row in fresh.items():
+            if name not in new:
+                self._record_change(revision, terminated_row(row))
+        for name, row in new.items():
             if old.get(name) != row:
-                self._note(revision, row)
+                self._record_change(revision, row)
         if not self.generation:
             self._changes.clear()
-            self._first = revision
+            self._first_version = revision
         self.hosts = {name: host for name, (_, host) in hosts.items()}
-        self.revisions = {name: at for name, (at, _) in hosts.items()}
-        self._moved(revision)
+        self.revisions = {name: host_revision for name, (host_revision, _) in hosts.items()}
+        self._finish_version(revision)
 
     def change(self, revision: int, changes: Iterable[tuple[str, Host | None]]) -> None:
-        """One version: all changes of one revision."""
+        """Apply all changes of one revision as one version."""
         for name, host in changes:
             old = self.hosts.pop(name, None)
             self.revisions.pop(name, None)
             if host is not None:
                 self.hosts[name], self.revisions[name] = host, revision
                 if old is None or old.row != host.row:
-                    self._note(revision, host.row)
+                    self._record_change(revision, host.row)
             elif old is not None:
-                self._note(revision, gone(old.row))
-        self._moved(revision)
+                self._record_change(revision, terminated_row(old.row))
+        self._finish_version(revision)
 
-    def _note(self, revision: int, row: Row) -> None:
+    def _record_change(self, revision: int, row: Row) -> None:
         self._changes.append((revision, row))
 
-    def _moved(self, revision: int) -> None:
+    def _finish_version(self, revision: int) -> None:
         self.generation = revision
-        self._lines.clear()
-        while len(self._changes) > KEPT:
-            self._first = self._changes.popleft()[0]
-            while self._changes and self._changes[0][0] == self._first:
+        self._line_cache.clear()
+        while len(self._changes) > MAX_CHANGES:
+            self._first_version = self._changes.popleft()[0]
+            while self._changes and self._changes[0][0] == self._first_version:
                 self._changes.popleft()
 
-    # ---- What readers are told ---------------------------------------------------------------------------
+    # ---- Updates for readers -----------------------------------------------------------------------------
 
-    def since(self, version: int) -> Line:
-        """What changed after a version, the last word on each host; or everything, where that is not known any more."""
-        if not self._first <= version <= self.generation or not version:
+    def changes_since(self, version: int) -> Line:
+        """The latest change of each host after a version, or the full list if those changes are no longer retained."""
+        if not self._first_version <= version <= self.generation or not version:
             return Line(self.generation, True, [host.row for host in self.hosts.values()])
         last: dict[str, Row] = {}
         for revision, row in reversed(self._changes):
@@ -120,38 +120,38 @@
         return Line(self.generation, False, list(reversed(last.values())))
 
     def versions(self, after: int) -> tuple[int, list[dict[str, object]]]:
-        """From which version on all are known, and what each after one changed."""
+        """The version after which all changes are retained, and the changes of each version later than `after`."""
         found: dict[int, list[Row]] = {}
         for revision, row in self._changes:
             if revision > after:
                 found.setdefault(revision, []).append(row)
-        return self._first, [{"generation": revision, "instances": rows} for revision, rows in found.items()]
+        return self._first_version, [{"generation": revision, "instances": rows} for revision, rows in found.items()]
 
-    def line(self, version: int, whole: bool = False) -> bytes:
-        """The same as bytes, joined once for all who ask from there."""
-        key = (0 if whole else version, whole)
-        found = self._lines.get(key)
+    def line(self, version: int, full: bool = False) -> bytes:
+        """The encoded update for a reader at this version; encoded once for all readers there."""
+        key = (0 if full else version, full)
+        found = self._line_cache.get(key)
         if found is None:
-            found = self._lines[key] = ENCODE(self.since(0 if whole else version))
-            self.joined += 1
-            if len(self._lines) > CACHED:
-                self._lines.popitem(last=False)
+            found = self._line_cache[key] = ENCODE(self.changes_since(0 if full else version))
+            self.lines_encoded += 1
+            if len(self._line_cache) > MAX_CACHED_LINES:
+                self._line_cache.popitem(last=False)
         return found
 
-    # ---- Its age -----------------------------------------------------------------------------------------
+    # ---- Age ---------------------------------------------------------------------------------------------
 
-    def asked(self, sent: int, revision: int, here: int) -> None:
-        """The store was asked at `sent` and was at `revision`; the mirror has heard all up to `here`."""
-        if here >= revision:
-            self._fresh, self._asked = max(self._fresh, sent), None
-        elif self._asked is None:       # the first that is waited for: a later one would put it off for ever
-            self._asked = (sent, revision)
+    def on_revision_queried(self, sent: int, revision: int, applied_revision: int) -> None:
+        """A query sent at `sent` found the store at `revision`; the mirror is complete up to `applied_revision`."""
+        if applied_revision >= revision:
+            self._fresh_at, self._pending_query = max(self._fresh_at, sent), None
+        elif self._pending_query is None:       # replacing an earlier query could postpone the confirmation for ever
+            self._pending_query = (sent, revision)
 
-    def reached(self, here: int) -> None:
-        """All up to this revision has been heard."""
-        if self._asked is not None and here >= self._asked[1]:
-            self._fresh, self._asked = max(self._fresh, self._asked[0]), None
+    def on_revision_reached(self, applied_revision: int) -> None:
+        """Everything up to this revision has been applied."""
+        if self._pending_query is not None and applied_revision >= self._pending_query[1]:
+            self._fresh_at, self._pending_query = max(self._fresh_at, self._pending_query[0]), None
 
     def age(self, now: int) -> int:
-        """At most so old, ns: whatever was changed earlier is in it."""
-        return now - self._fresh
+        """Upper bound of the age, ns: every change made earlier than that is included."""
+        return now - self._fresh_at
--- a/moleworks/registry/registration.py
+++ b/moleworks/registry/registration.py
@@ -1,4 +1,4 @@
-"""A host's side of the list: it registers, renews, drains and ends, with whichever service answers."""
+"""A host's client of the list service: registers, sends heartbeats, drains and ends at any service that responds."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 log = logs.get("registry.registration")
 
-TRY_S = 2.0
-RENEWALS = 6.0
-"""Heartbeats in a lease: most of them may be lost."""
+CALL_TIMEOUT_S = 2.0
+HEARTBEATS_PER_TTL = 6.0
+"""Heartbeats per TTL, so that a host stays listed even if most of them are lost."""
 
 
 class Replaced(Exception):
-    """Another process has registered under this name since."""
+    """Another process has registered under this name in the meantime."""
 
 
 class Registration:
@@ -32,54 +32,55 @@
         self.name, self._host, self.ttl_ms = name, host, ttl_ms
         self.session = secrets.token_hex(8)
 
-    async def run(self, ends: asyncio.Event) -> None:
-        """Register, renew until `ends`, then drain.  Raises Replaced.  `end` takes it out at last."""
+    async def run(self, stop: asyncio.Event) -> None:
+        """Register, send heartbeats until `stop` is set, then drain.  Raises Replaced.  `end` removes the host."""
         async with aiohttp.ClientSession() as http:
-            await self._until(http, "", {**self._host, "session": self.session, "ttlMs": self.ttl_ms})
+            await self._call_until_done(http, "", {**self._host, "session": self.session, "ttlMs": self.ttl_ms})
             log.info("registered", host=self.name)
-            while not ends.is_set():
+            while not stop.is_set():
                 try:
-                    async with asyncio.timeout(self.ttl_ms / 1000 / RENEWALS * random.uniform(0.8, 1.0)):
-                        await ends.wait()
+                    async with asyncio.timeout(self.ttl_ms / 1000 / HEARTBEATS_PER_TTL * random.uniform(0.8, 1.0)):
+                        await stop.wait()
                 except TimeoutError:
                     await self._renew(http)
-            await self._until(http, "/drain", {"session": self.session})
+            await self._call_until_done(http, "/drain", {"session": self.session})
 
     async def end(self) -> None:
-        """It is out of the list when this returns.  Raises Replaced."""
+        """Remove the host from the list; returns once it is removed.  Raises Replaced."""
         async with aiohttp.ClientSession() as http:
-            await self._until(http, "/end", {"session": self.session})
+            await self._call_until_done(http, "/end", {"session": self.session})
 
     async def _renew(self, http: aiohttp.ClientSession) -> None:
-        """One heartbeat, with each service in turn until one answers; one that is lost is lost."""
+        """Send one heartbeat, trying each service once until one responds.  A lost heartbeat is not repeated."""
         status = 0
         for _ in self._addresses:
             status = status or await self._post(http, "/renew", {"session": self.session}, self.ttl_ms / 12_000)
-        if status == 409:   # expired and taken by another, or expired and not registered anew yet
-            await self._until(http, "", {**self._host, "session": self.session, "ttlMs": self.ttl_ms})
+        if status == 409:   # the session has expired; another process may have the name by now
+            await self._call_until_done(http, "", {**self._host, "session": self.session, "ttlMs": self.ttl_ms})
 
-    async def _until(self, http: aiohttp.ClientSession, act: str, told: dict[str, Any]) -> None:
-        pause = 0.1
+    async def _call_until_done(self, http: aiohttp.ClientSession, path: str, body: dict[str, Any]) -> None:
+        backoff_s = 0.1
         while True:
-            status = await self._post(http, act, told)
+            status = await self._post(http, path, body)
             if status == 200:
                 return
-            if status == 409 and act:
+            if status == 409 and path:
                 raise Replaced(self.name)
             if status == 400:
-                raise ValueError(f"{self.name}: the service refuses what it was told")
-            await asyncio.sleep(pause * random.uniform(0.5, 1.5))
-            pause = min(2.0, pause * 2)
-
-    async def _post(self, http: aiohttp.ClientSession, act: str, told: dict[str, Any], wait_s: float = TRY_S) -> int:
-        """The answer's status; 0 where there is none."""
-        timeout = aiohttp.ClientTimeout(total=wait_s)
+                raise ValueError(f"{self.name}: the service rejected the request as invalid")
+            await asyncio.sleep(backoff_s * random.uniform(0.5, 1.5))
+            backoff_s = min(2.0, backoff_s * 2)
+
+    async def _post(self, http: aiohttp.ClientSession, path: str, body: dict[str, Any],
+                    timeout_s: float = CALL_TIMEOUT_S) -> int:
+        """The response's status; 0 if there was no usable response."""
+        timeout = aiohttp.ClientTimeout(total=timeout_s)
         host, port = self._addresses[0]
         try:
-            async with http.post(f"http://{host}:{port}/registry/hosts/{self.name}{act}", json=told,
-                                 timeout=timeout) as answer:
-                if answer.status in (200, 400, 409, 429):
-                    return answer.status
+            async with http.post(f"http://{host}:{port}/registry/hosts/{self.name}{path}", json=body,
+                                 timeout=timeout) as response:
+                if response.status in (200, 400, 409, 429):
+                    return response.status
         except (aiohttp.ClientError, OSError, TimeoutError):
             pass
         self._addresses.append(self._addresses.pop(0))
--- a/moleworks/registry/rows.py
+++ b/moleworks/registry/rows.py
@@ -1,4 +1,4 @@
-"""A host as the list has it, in the words of the platform's `/registry/instances`.  No I/O."""
+"""A host as an entry of the list, in the format of the platform's `/registry/instances`.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import msgspec
 from msgspec import Meta, Struct
 
-READY, DRAINING, GONE = "in_service", "terminating", "terminated"
-Name = Annotated[str, Meta(min_length=1, max_length=128, pattern=r"^[A-Za-z0-9][A-Za-z0-9._:-]*$")]
+IN_SERVICE, DRAINING, TERMINATED = "in_service", "terminating", "terminated"
+InstanceId = Annotated[str, Meta(min_length=1, max_length=128, pattern=r"^[A-Za-z0-9][A-Za-z0-9._:-]*$")]
 HostPort = Annotated[str, Meta(max_length=256, pattern=r"^\[?[A-Za-z0-9.:_-]+\]?:[0-9]{1,5}$")]
 
 
 class Row(Struct, frozen=True, rename="camel"):
-    """One instance.  `started_at_ms`: Unix time, 0 long ago."""
+    """One instance.  `started_at_ms` is Unix time; 0 means that the host has been running for long."""
 
-    instance_id: Name
+    instance_id: InstanceId
     host_port: HostPort
     zone: Annotated[str, Meta(min_length=1, max_length=64)]
     machine_type: Annotated[str, Meta(max_length=64)] = ""
@@ -27,7 +27,7 @@
 
 
 class Line(Struct, rename="camel"):
-    """An object of the list: all of it (`reset`), or what changed."""
+    """One update of the list: the full list (`reset`) or the rows that have changed."""
 
     generation: int
     reset: bool
@@ -39,21 +39,21 @@
 ENCODE = msgspec.json.Encoder().encode
 
 
-def gone(row: Row) -> Row:
-    """The row of a host that has left, as it stands among changes."""
-    return msgspec.structs.replace(row, lifecycle=GONE)
+def terminated_row(row: Row) -> Row:
+    """The row that announces the removal of a host in an update."""
+    return msgspec.structs.replace(row, lifecycle=TERMINATED)
 
 
 def difference(old: Mapping[str, Row], new: Mapping[str, Row]) -> list[Row]:
-    """What makes one list of the other."""
-    return [*(gone(row) for name, row in old.items() if name not in new),
+    """The changes that turn the old list into the new one."""
+    return [*(terminated_row(row) for name, row in old.items() if name not in new),
             *(row for name, row in new.items() if old.get(name) != row)]
 
 
 def applied(rows: dict[str, Row], changes: Iterable[Row]) -> None:
-    """Put changes into a list."""
+    """Apply changes to a list in place."""
     for row in changes:
-        if row.lifecycle == GONE:
+        if row.lifecycle == TERMINATED:
             rows.pop(row.instance_id, None)
         else:
             rows[row.instance_id] = row
--- a/moleworks/registry/verdicts.py
+++ b/moleworks/registry/verdicts.py
@@ -1,7 +1,8 @@
-"""What probes of a zone's hosts say in the end.  No I/O, no clock.
+"""Health verdicts from the results of a zone's health checks.  No I/O, no clock.
 
-A host is bad after `BAD` failures in a row and good after `GOOD` answers.  Where more than half of the hosts fail in
-one round the prober's own network is the likelier cause: nothing turns bad by such a round.
+A host turns bad after `FAILURES_TO_BAD` consecutive failures and good after `SUCCESSES_TO_GOOD` consecutive successes.
+If more than half of the hosts fail in one round, the prober's own network is the likelier cause: the failures of that
+round are ignored.
 """
 
 from __future__ import annotations
@@ -10,54 +11,54 @@
 
 from msgspec import Struct
 
-BAD, GOOD = 3, 2
+FAILURES_TO_BAD, SUCCESSES_TO_GOOD = 3, 2
 
 
 class Verdict(Struct, frozen=True):
-    """As it stands in the store under `verdicts/ZONE/HOST`."""
+    """The record in the store under `verdicts/ZONE/HOST`."""
 
     state: str           # good or bad
     why: str
-    round: int           # of this prober, when it turned
+    round: int           # the prober's round in which the state changed
 
 
-class _Host(Struct):
+class _HostHealth(Struct):
     failures: int = 0
     successes: int = 0
     verdict: Verdict | None = None
 
 
 class Verdicts:
-    """One zone's hosts."""
+    """Health check counters and verdicts of one zone's hosts."""
 
     def __init__(self) -> None:
-        self._hosts: dict[str, _Host] = {}
+        self._hosts: dict[str, _HostHealth] = {}
         self.round = 0
-        self.doubted = 0     # rounds that were not believed
+        self.ignored_rounds = 0     # rounds whose failures were ignored
 
-    def known(self, host: str, verdict: Verdict) -> None:
-        """What the store had when this prober took over."""
-        self._hosts[host] = _Host(verdict=verdict)
+    def load(self, host: str, verdict: Verdict) -> None:
+        """Load a verdict that the store had when this prober took over."""
+        self._hosts[host] = _HostHealth(verdict=verdict)
 
-    def end_round(self, answers: dict[str, str]) -> list[tuple[str, Verdict]]:
-        """Each host that was probed with its fault, empty if it answered well; verdicts that have changed."""
+    def end_round(self, results: dict[str, str]) -> list[tuple[str, Verdict]]:
+        """Add one round: the failure of each probed host, empty if healthy.  Returns the verdicts that have changed."""
         self.round += 1
-        failing = sum(bool(why) for why in answers.values())
-        if len(answers) > 2 and failing * 2 > len(answers):
-            self.doubted += 1
-            answers = {host: why for host, why in answers.items() if not why}
+        failing = sum(bool(why) for why in results.values())
+        if len(results) > 2 and failing * 2 > len(results):
+            self.ignored_rounds += 1
+            results = {host: why for host, why in results.items() if not why}
         turned = []
-        for host, why in answers.items():
-            row = self._hosts.setdefault(host, _Host())
+        for host, why in results.items():
+            row = self._hosts.setdefault(host, _HostHealth())
             row.failures, row.successes = (row.failures + 1, 0) if why else (0, row.successes + 1)
-            state = "bad" if row.failures >= BAD else "good" if row.successes >= GOOD else ""
+            state = "bad" if row.failures >= FAILURES_TO_BAD else "good" if row.successes >= SUCCESSES_TO_GOOD else ""
             if state and (row.verdict is None or row.verdict.state != state):
                 row.verdict = Verdict(state, why, self.round)
                 turned.append((host, row.verdict))
         return turned
 
-    def forget(self, listed: Iterable[str]) -> list[str]:
-        """Hosts that the list no longer names, of which there was a verdict."""
-        wanted = set(listed)
-        left = [host for host in self._hosts if host not in wanted]
-        return [host for host in left if self._hosts.pop(host).verdict is not None]
+    def forget(self, listed_hosts: Iterable[str]) -> list[str]:
+        """Drop hosts that are no longer listed; returns those that had a verdict."""
+        current = set(listed_hosts)
+        removed = [host for host in self._hosts if host not in current]
+        return [host for host in removed if self._hosts.pop(host).verdict is not None]
