--- a/moleworks/cli/common.py
+++ b/moleworks/cli/common.py
@@ -23,7 +23,7 @@
 def address(text: str, what: str) -> tuple[str, int]:
     """HOST:PORT.  Raises ConfigError."""
     try:
-        return wire.address(text)
+        return wire.parse_address(text)
     except ValueError as error:
         raise ConfigError([f"{what}: {error}"]) from None
 
--- a/moleworks/cli/prober.py
+++ b/moleworks/cli/prober.py
@@ -52,12 +52,12 @@
     if not _allowed(settings, zone):
         click.echo(f"{settings}: probes are not allowed: off")
         return 0
-    from moleworks.registry.lists import Lists
+    from moleworks.registry.lists import ListClient
     from moleworks.registry.prober import Prober
 
     async def act(client: Any) -> int:
         task = asyncio.ensure_future(
-            Prober(client, Lists(addresses), zone, name, every, min(0.3, every / 2), ttl_ms).run())
+            Prober(client, ListClient(addresses), zone, name, every, min(0.3, every / 2), ttl_ms).run())
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, task.cancel)
         with contextlib.suppress(asyncio.CancelledError):   # it lets go of the duty, so that another follows at once
--- a/moleworks/cli/registry.py
+++ b/moleworks/cli/registry.py
@@ -194,12 +194,12 @@
 @REGISTRY
 def watch(seconds: float | None, registry: str) -> int:
     """Print the list and its changes as they come, whichever service tells them."""
-    from moleworks.registry.lists import Lists
+    from moleworks.registry.lists import ListClient
 
     async def main() -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                async for line in Lists(_addresses(registry)).watch():
+                async for line in ListClient(_addresses(registry)).watch():
                     for row in line.instances:
                         click.echo(f"{line.generation} {row.instance_id} {row.host_port} {row.zone} {row.lifecycle}")
     asyncio.run(main())
--- a/moleworks/registry/lists.py
+++ b/moleworks/registry/lists.py
@@ -23,11 +23,11 @@
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 5.0
 
 
-class Wrong(Exception):
+class InvalidList(Exception):
     """A service sent something that can't be used as a list."""
 
 
-class Lists:
+class ListClient:
     """Follows the list: holds the newest version received from any service."""
 
     def __init__(self, addresses: Sequence[tuple[str, int]]) -> None:
@@ -36,16 +36,16 @@
         self.generation = 0
         self.rows: dict[str, Row] = {}
 
-    def take(self, text: bytes) -> Line:
-        """Apply one line of a watch.  Raises Wrong, for instance for an older list or an empty full list."""
+    def apply_line(self, text: bytes) -> Line:
+        """Apply one line of a watch.  Raises InvalidList, for instance for an older list or an empty full list."""
         try:
             line = LINE.decode(text)
         except msgspec.DecodeError as error:
-            raise Wrong(str(error)) from None
+            raise InvalidList(str(error)) from None
         if line.generation < self.generation:
-            raise Wrong(f"version {line.generation} is older than the current version {self.generation}")
+            raise InvalidList(f"version {line.generation} is older than the current version {self.generation}")
         if line.reset and not line.instances and self.rows:
-            raise Wrong("the full list is empty")
+            raise InvalidList("the full list is empty")
         if line.reset:
             self.rows = {}
         applied(self.rows, line.instances)
@@ -64,7 +64,7 @@
                         backoff_s = MIN_BACKOFF_S
                         yield line
                     why = "the response has ended"
-                except (aiohttp.ClientError, OSError, TimeoutError, ValueError, Wrong) as error:
+                except (aiohttp.ClientError, OSError, TimeoutError, ValueError, InvalidList) as error:
                     why = f"{type(error).__name__}: {error}"
                 log.info("list_elsewhere", service=f"{host}:{port}", why=why)
                 self._addresses.append(self._addresses.pop(0))
@@ -76,15 +76,15 @@
             response = await session.get(url, params={"watch": "1", "from": str(self.generation)})
         try:
             if response.status != 200:
-                raise Wrong(f"HTTP status {response.status}")
+                raise InvalidList(f"HTTP status {response.status}")
             line_timeout_s = FIRST_LINE_TIMEOUT_S
             while True:
                 async with asyncio.timeout(line_timeout_s):
                     text = await response.content.readline()
                 line_timeout_s = WATCH_SILENCE_TIMEOUT_S
                 if not text.endswith(b"\n"):
-                    raise Wrong("the response was truncated within a line")
+                    raise InvalidList("the response was truncated within a line")
                 if text.strip():
-                    yield self.take(text)
+                    yield self.apply_line(text)
         finally:
             response.close()
--- a/moleworks/registry/mirror.py
+++ b/moleworks/registry/mirror.py
@@ -10,7 +10,7 @@
 
 from .rows import ENCODE, Line, Row, terminated_row
 
-HOSTS, HEARTBEATS_PREFIX, DOUBTFUL_KEY = "reg/hosts/", "reg/beats/", "reg/doubt"
+HOSTS_PREFIX, HEARTBEATS_PREFIX, DOUBTFUL_KEY = "reg/hosts/", "reg/beats/", "reg/doubt"
 MAX_CHANGES = 4096
 """Changes that are retained; a watch that resumes from an older version gets the full list."""
 MAX_CACHED_LINES = 64
--- a/moleworks/registry/prober.py
+++ b/moleworks/registry/prober.py
@@ -20,7 +20,7 @@
 from moleworks.store.client import Client, Unavailable
 from moleworks.store.state import Delete, Guard, Put
 
-from .lists import Lists
+from .lists import ListClient
 from .rows import DRAINING, Row
 from .verdicts import Verdict, Verdicts
 
@@ -38,7 +38,7 @@
 class Prober:
     """Probes the hosts of one zone."""
 
-    def __init__(self, client: Client, lists: Lists, zone: str, name: str, interval_s: float = 1.0,
+    def __init__(self, client: Client, lists: ListClient, zone: str, name: str, interval_s: float = 1.0,
                  timeout_s: float = 0.3, ttl_ms: int = 3000) -> None:
         self._client, self._lists, self._zone = client, lists, zone
         self._holder = Holder(client, f"probe/{zone}", name, ttl_ms)
--- a/moleworks/registry/service.py
+++ b/moleworks/registry/service.py
@@ -23,7 +23,7 @@
     HEARTBEATS_DECODER,
     HEARTBEATS_PREFIX,
     HOST_DECODER,
-    HOSTS,
+    HOSTS_PREFIX,
     DoubtfulHosts,
     Heartbeats,
     Host,
@@ -115,13 +115,13 @@
         for row in records:
             if row.key == DOUBTFUL_KEY:
                 self.mirror.doubtful = DOUBTFUL_DECODER.decode(row.value).hosts
-        return ({row.key.removeprefix(HOSTS): (row.revision, HOST_DECODER.decode(row.value))
-                 for row in records if row.key.startswith(HOSTS)}, first, answer.revision)
+        return ({row.key.removeprefix(HOSTS_PREFIX): (row.revision, HOST_DECODER.decode(row.value))
+                 for row in records if row.key.startswith(HOSTS_PREFIX)}, first, answer.revision)
 
     @staticmethod
     def _merge_event(hosts: dict[str, tuple[int, Host]], event: Event) -> None:
-        name = event.key.removeprefix(HOSTS)
-        if event.key.startswith(HOSTS) and event.revision > hosts.get(name, (0, None))[0]:
+        name = event.key.removeprefix(HOSTS_PREFIX)
+        if event.key.startswith(HOSTS_PREFIX) and event.revision > hosts.get(name, (0, None))[0]:
             hosts.pop(name, None)
             if event.value is not None:
                 hosts[name] = (event.revision, HOST_DECODER.decode(event.value))
@@ -132,13 +132,13 @@
         self.mirror.on_revision_reached(applied_revision)
         self._on_change()
 
-    def _apply(self, events: Sequence[Event], here: int) -> None:
+    def _apply(self, events: Sequence[Event], revision: int) -> None:
         """Apply events of one or more complete revisions, in order."""
         versions: dict[int, list[tuple[str, Host | None]]] = {}
         now = time.monotonic_ns()
         for event in events:
-            if event.key.startswith(HOSTS):
-                name = event.key.removeprefix(HOSTS)
+            if event.key.startswith(HOSTS_PREFIX):
+                name = event.key.removeprefix(HOSTS_PREFIX)
                 versions.setdefault(event.revision, []).append(
                     (name, None if event.value is None else HOST_DECODER.decode(event.value)))
             elif event.key.startswith(HEARTBEATS_PREFIX) and event.value is not None:
@@ -146,10 +146,10 @@
                     self._expiry.on_heartbeats(now, HEARTBEATS_DECODER.decode(event.value).sessions)
             elif event.key == DOUBTFUL_KEY:
                 self.mirror.doubtful = [] if event.value is None else DOUBTFUL_DECODER.decode(event.value).hosts
-        for revision, changes in versions.items():
-            if revision > self.mirror.generation:
-                self.mirror.change(revision, changes)
-        self._applied_revision = max(self._applied_revision, here)
+        for version, changes in versions.items():
+            if version > self.mirror.generation:
+                self.mirror.change(version, changes)
+        self._applied_revision = max(self._applied_revision, revision)
         self.mirror.on_revision_reached(self._applied_revision)
         if versions:
             self._on_change()
@@ -230,7 +230,7 @@
             if revision is None or not holder.holds():
                 continue
             result = await self._duty_client.change(
-                (Delete(HOSTS + name),), (Condition(HOSTS + name, revision),), guard)
+                (Delete(HOSTS_PREFIX + name),), (Condition(HOSTS_PREFIX + name, revision),), guard)
             log.info("registry_expired", host=name, done=result.done, why=result.why)
 
     # ---- Writers -----------------------------------------------------------------------------------------
@@ -239,15 +239,15 @@
         """Write an operator's changes as one version; returns its number.  Raises Conflict, Unavailable, ValueError."""
         if len(hosts) + len(drain) + len(remove) > MAX_CHANGES_PER_VERSION:
             raise ValueError(f"at most {MAX_CHANGES_PER_VERSION} changes in one version")
-        ops: list[Put | Delete] = [Put(HOSTS + host.row.instance_id, ENCODE(host)) for host in hosts]
+        ops: list[Put | Delete] = [Put(HOSTS_PREFIX + host.row.instance_id, ENCODE(host)) for host in hosts]
         conditions = []
         for name in drain:
             old, at = await self._read_host(name)
             if old is None:
                 raise Conflict(f"{name} is not in the list")
-            ops.append(Put(HOSTS + name, ENCODE(_with_lifecycle(old, DRAINING))))
-            conditions.append(Condition(HOSTS + name, at))
-        ops += [Delete(HOSTS + name) for name in remove]
+            ops.append(Put(HOSTS_PREFIX + name, ENCODE(_with_lifecycle(old, DRAINING))))
+            conditions.append(Condition(HOSTS_PREFIX + name, at))
+        ops += [Delete(HOSTS_PREFIX + name) for name in remove]
         return await self._write(ops, conditions)
 
     async def register(self, host: Host) -> int:
@@ -257,7 +257,7 @@
         if old is not None and old.session == host.session:
             return at                # keeps its lifecycle, which may be draining by now
         self._pending_sessions[host.session] = None
-        return await self._write([Put(HOSTS + name, ENCODE(host))], [Condition(HOSTS + name, at)])
+        return await self._write([Put(HOSTS_PREFIX + name, ENCODE(host))], [Condition(HOSTS_PREFIX + name, at)])
 
     async def set_lifecycle(self, name: str, session: str, lifecycle: str) -> int:
         """Drain or remove a host on its own request.  Raises as `put`."""
@@ -266,12 +266,12 @@
             if old is None and lifecycle == TERMINATED:
                 return self.mirror.generation       # repeated request
             raise Conflict(f"{name} is not this session's")
-        op = (Delete(HOSTS + name) if lifecycle == TERMINATED
-              else Put(HOSTS + name, ENCODE(_with_lifecycle(old, lifecycle))))
-        return await self._write([op], [Condition(HOSTS + name, at)])
+        op = (Delete(HOSTS_PREFIX + name) if lifecycle == TERMINATED
+              else Put(HOSTS_PREFIX + name, ENCODE(_with_lifecycle(old, lifecycle))))
+        return await self._write([op], [Condition(HOSTS_PREFIX + name, at)])
 
     async def _read_host(self, name: str) -> tuple[Host | None, int]:
-        record = await self._client.get(HOSTS + name)
+        record = await self._client.get(HOSTS_PREFIX + name)
         return (None, 0) if record is None else (HOST_DECODER.decode(record.value), record.revision)
 
     async def _write(self, ops: Sequence[Put | Delete], conditions: Sequence[Condition]) -> int:
--- a/moleworks/rig/real/odd_list.py
+++ b/moleworks/rig/real/odd_list.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from moleworks.registry import expiry, service
-from moleworks.registry.mirror import HOSTS, Host, Mirror
+from moleworks.registry.mirror import HOSTS_PREFIX, Host, Mirror
 from moleworks.store.client import Client
 from moleworks.store.state import Event
 
@@ -30,11 +30,11 @@
         lost.append(True)
         await real_lost(self)
 
-    def skipping(self: service.Service, events: Sequence[Event], here: int) -> None:
-        if lost and any(event.key.startswith(HOSTS) for event in events):
+    def skipping(self: service.Service, events: Sequence[Event], revision: int) -> None:
+        if lost and any(event.key.startswith(HOSTS_PREFIX) for event in events):
             lost.clear()
             events = ()
-        real_apply(self, events, here)
+        real_apply(self, events, revision)
     Client._lost = losing                           # type: ignore[method-assign]
     service.Service._apply = skipping               # type: ignore[method-assign]
 
--- a/moleworks/rig/real/watching.py
+++ b/moleworks/rig/real/watching.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from moleworks import logs
-from moleworks.registry.lists import Lists, Wrong
+from moleworks.registry.lists import InvalidList, ListClient
 from moleworks.registry.rows import Line
 
 from .. import history
@@ -17,19 +17,19 @@
 from .child import Clock, main
 
 
-class _Recorded(Lists):
+class _Recorded(ListClient):
     """The client under test; the lines that it takes and those that it refuses are kept."""
 
     def __init__(self, part: Watching, number: int) -> None:
         super().__init__(part.addresses)
         self._part, self._number = part, number
 
-    def take(self, text: bytes) -> Line:
+    def apply_line(self, text: bytes) -> Line:
         """Recorded before and after."""
         part = self._part
         try:
-            line = part.believe(self, text) if part.believes else super().take(text)
-        except Wrong as error:
+            line = part.believe(self, text) if part.believes else super().apply_line(text)
+        except InvalidList as error:
             part.writer.add(Refusal(part.clock.now(), self._number, str(error)))
             raise
         rows = [[row.instance_id, row.lifecycle, row.host_port] for row in line.instances] if part.records else []
@@ -53,7 +53,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     @staticmethod
-    def believe(lists: Lists, text: bytes) -> Line:
+    def believe(lists: ListClient, text: bytes) -> Line:
         """A safeguard left out: whatever comes is taken."""
         from moleworks.registry.rows import LINE, applied
         line = LINE.decode(text)
--- a/moleworks/store/client.py
+++ b/moleworks/store/client.py
@@ -101,14 +101,14 @@
             address = self._current_address or random.choice(self._addresses)
             async with asyncio.timeout(TRY_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address, limit=2 * wire.MAX_FRAME)
-            writer.write(wire.frame(self._cluster, ENCODE(Hello())))
+            writer.write(wire.encode_frame(self._cluster, ENCODE(Hello())))
             self._writer = writer
             self._read_task = asyncio.create_task(self._read(reader))
             return writer
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
         try:
-            while (payload := await wire.read(reader, self._cluster)) is not None:
+            while (payload := await wire.read_frame(reader, self._cluster)) is not None:
                 answer = ANSWER.decode(payload)
                 queue = self._answer_queues.get(answer.id)
                 if queue is not None:
@@ -128,7 +128,7 @@
         number = self._last_call_id
         queue = self._answer_queues[number] = asyncio.Queue(4)
         try:
-            writer.write(wire.frame(self._cluster, ENCODE(Call(number, request))))
+            writer.write(wire.encode_frame(self._cluster, ENCODE(Call(number, request))))
             async with asyncio.timeout(TRY_TIMEOUT_S):
                 answer = await queue.get()
         finally:
@@ -166,7 +166,7 @@
         address = self._addresses_by_name.get(answer.elsewhere.leader)
         if address is None and not self._addresses_by_name:
             try:
-                address = wire.address(answer.address)
+                address = wire.parse_address(answer.address)
             except ValueError:   # no leader is known
                 address = None
         if address != self._current_address or address is None:
@@ -273,7 +273,7 @@
         queue = self._answer_queues[number] = asyncio.Queue(10_000)
         try:
             writer = await self._connect()
-            writer.write(wire.frame(self._cluster, ENCODE(Call(number, request))))
+            writer.write(wire.encode_frame(self._cluster, ENCODE(Call(number, request))))
             while True:
                 async with asyncio.timeout(WATCH_TIMEOUT_S):
                     answer = await queue.get()
--- a/moleworks/store/member.py
+++ b/moleworks/store/member.py
@@ -91,12 +91,12 @@
             try:
                 async with asyncio.timeout(2.0):
                     reader, writer = await asyncio.open_connection(*self._member.address_of(self._name))
-                writer.write(wire.frame(self._member.cluster, ENCODE(self._member.hello)))
+                writer.write(wire.encode_frame(self._member.cluster, ENCODE(self._member.hello)))
                 rejection = asyncio.create_task(self._read_rejection(reader))
                 backoff_s = 0.05
                 while not rejection.done():
                     while self._queue:
-                        writer.write(wire.frame(self._member.cluster, self._queue.popleft()))
+                        writer.write(wire.encode_frame(self._member.cluster, self._queue.popleft()))
                     self._queued.clear()
                     async with asyncio.timeout(5.0):
                         await writer.drain()
@@ -114,7 +114,7 @@
     async def _read_rejection(self, reader: asyncio.StreamReader) -> None:
         """Waits for a rejection: a peer sends nothing else on this connection."""
         with contextlib.suppress(wire.WireError, msgspec.DecodeError):
-            payload = await wire.read(reader, self._member.cluster)
+            payload = await wire.read_frame(reader, self._member.cluster)
             if payload is not None:
                 answer: Answer = msgspec.msgpack.decode(payload, type=Answer)
                 self._member.stop(f"{self._name} rejected this member: {answer.error}")
@@ -134,9 +134,10 @@
         if self.writer.is_closing():
             return
         try:
-            data = wire.frame(self._cluster, ENCODE(answer))
+            data = wire.encode_frame(self._cluster, ENCODE(answer))
         except wire.WireError:
-            data = wire.frame(self._cluster, ENCODE(Answer(answer.id, error="the answer is too long: ask for less")))
+            data = wire.encode_frame(
+                self._cluster, ENCODE(Answer(answer.id, error="the answer is too long: ask for less")))
         self.writer.write(data)
 
     def is_backlogged(self) -> bool:
@@ -217,8 +218,8 @@
             return self._peers[name]
         record = self.replica.state.get(ADDRESS_PREFIX + name)
         if record is not None:
-            return wire.address(record.value.decode())
-        return wire.address(self._last_hellos[name].address)
+            return wire.parse_address(record.value.decode())
+        return wire.parse_address(self._last_hellos[name].address)
 
     # ---- Event processing -------------------------------------------------------------------------------
 
@@ -304,7 +305,7 @@
             writer.close()
 
     async def _read_frame(self, reader: asyncio.StreamReader) -> Any:
-        payload = await wire.read(reader, self.cluster)
+        payload = await wire.read_frame(reader, self.cluster)
         return None if payload is None else FRAME.decode(payload)
 
     async def _serve_peer(self, hello: Hello, reader: asyncio.StreamReader, client: _Client) -> None:
--- a/moleworks/wire.py
+++ b/moleworks/wire.py
@@ -26,7 +26,7 @@
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """HOST:PORT.  Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not int(port) < 65536:
@@ -34,14 +34,14 @@
     return host, int(port)
 
 
-def frame(cluster: int, payload: bytes) -> bytes:
+def encode_frame(cluster: int, payload: bytes) -> bytes:
     """One frame.  Raises WireError where it would be too long."""
     if len(payload) + 9 > MAX_FRAME:
         raise WireError(f"a frame of {len(payload)} bytes is too long")
     return _HEAD.pack(len(payload) + 9, VERSION, cluster) + payload
 
 
-async def read(reader: asyncio.StreamReader, cluster: int) -> bytes | None:
+async def read_frame(reader: asyncio.StreamReader, cluster: int) -> bytes | None:
     """The next frame's payload; None at the end.  Raises WireError."""
     try:
         length, version, whose = _HEAD.unpack(await reader.readexactly(_HEAD.size))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -24,7 +24,7 @@
 from gateway.timers import Timers
 from gateway.update_parser import ListedHost, UpdateParser
 from moleworks.registry.expiry import Expiry, Limits
-from moleworks.registry.lists import Lists, Wrong
+from moleworks.registry.lists import InvalidList, ListClient
 from moleworks.registry.mirror import Host, Mirror
 from moleworks.registry.rows import LINE, Row, applied
 from moleworks.registry.verdicts import Verdicts
@@ -126,14 +126,14 @@
 
 
 def test_a_client_rejects_older_empty_and_malformed_lists() -> None:
-    lists = Lists([("127.0.0.1", 1)])
+    lists = ListClient([("127.0.0.1", 1)])
     row = b'{"instanceId":"h0","hostPort":"127.0.0.1:1","zone":"z"}'
-    lists.take(b'{"generation":5,"reset":true,"instances":[%b]}' % row)
+    lists.apply_line(b'{"generation":5,"reset":true,"instances":[%b]}' % row)
     for bad in (b'{"generation":4,"reset":true,"instances":[%b]}' % row,
                 b'{"generation":9,"reset":true,"instances":[]}',
                 b'{"generation":9,"reset":true,"instances":[{}]}', b'{"generation":9', b"[]"):
-        with pytest.raises(Wrong):
-            lists.take(bad)
+        with pytest.raises(InvalidList):
+            lists.apply_line(bad)
     assert lists.generation == 5 and list(lists.rows) == ["h0"]
 
 
--- a/tests/test_store_real.py
+++ b/tests/test_store_real.py
@@ -297,10 +297,10 @@
     async def scene() -> None:
         leader = await store.leader()
         cluster = wire.cluster_id("t")
-        good = wire.frame(cluster, ENCODE(Hello()))
-        bad = [b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, wire.frame(1, ENCODE(Hello())), good[:7],
-               wire.frame(cluster, b"\xc1"), good + wire.frame(cluster, ENCODE(Hello())),
-               b"\x00\x00\x00\x10\x09" + good[5:], wire.frame(cluster, ENCODE(Call(1, Status())))]
+        good = wire.encode_frame(cluster, ENCODE(Hello()))
+        bad = [b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 64, wire.encode_frame(1, ENCODE(Hello())), good[:7],
+               wire.encode_frame(cluster, b"\xc1"), good + wire.encode_frame(cluster, ENCODE(Hello())),
+               b"\x00\x00\x00\x10\x09" + good[5:], wire.encode_frame(cluster, ENCODE(Call(1, Status())))]
         for data in bad:
             reader, writer = await asyncio.open_connection(*store.at[leader])
             writer.write(data)
