--- a/moleworks/__init__.py
+++ b/moleworks/__init__.py
@@ -1,1 +1,1 @@
-"""moleworks: the fleet round the gateway.  `gateway/` and `bridgesaddle/` import nothing of it."""
+"""Services and tools around the gateway.  `gateway/` and `bridgesaddle/` do not import this package."""
--- a/moleworks/__main__.py
+++ b/moleworks/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m moleworks`: the command line."""
+"""Entry point of `python -m moleworks`."""
 
 from moleworks.cli import main
 
--- a/moleworks/cli/__init__.py
+++ b/moleworks/cli/__init__.py
@@ -1,20 +1,20 @@
-"""The command line: its entry, which needs the standard library only."""
+"""Entry point of the command line; imports only the standard library until a command runs."""
 
 from __future__ import annotations
 
 import sys
 
-OWN = ("bridgesaddle", "gateway", "moleworks")
+OWN_PACKAGES = ("bridgesaddle", "gateway", "moleworks")
 
 
 def main(args: list[str] | None = None) -> None:
-    """Run the command.  A package that is not installed is one line and exit 2."""
+    """Run the command.  A missing package is reported in one line, with exit code 2."""
     try:
         from .commands import run
         run(args)
     except ModuleNotFoundError as error:
         missing = (error.name or "").partition(".")[0]
-        if not missing or missing in OWN:
+        if not missing or missing in OWN_PACKAGES:
             raise
         print(f"moleworks: the package {missing} is not installed; the command needs the optional ones, named "
               "`fleet` in pyproject.toml: pip install '.[fleet]'", file=sys.stderr)
--- a/moleworks/cli/commands.py
+++ b/moleworks/cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands.  Each group is imported when it is called, so that `--help` stays quick."""
+"""The top-level command.  Each group is imported only when it is called, so that `--help` stays fast."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import click
 
 GROUPS = {"config": "Check, show and describe configuration files.",
-          "store": "Records with revisions, replicated over some members.",
-          "duty": "Duties that only one process holds at a time.",
-          "registry": "The list of hosts: served, watched, changed.",
-          "prober": "Ask a zone's hosts whether they are well, in one process for all.",
-          "rig": "Run a fleet with faults between its processes, and judge it."}
+          "store": "The replicated store of versioned records.",
+          "duty": "Duties, each held by at most one process at a time.",
+          "registry": "Serve, watch and change the list of hosts.",
+          "prober": "Check the health of a zone's hosts in one process on behalf of all gateways.",
+          "rig": "Run a fleet under injected faults and check the results."}
 
 
-class Lazy(click.Group):
-    """A group whose commands live in modules of their own."""
+class LazyGroup(click.Group):
+    """A group that imports the module of a command when it is needed."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(GROUPS)
@@ -33,18 +33,18 @@
             formatter.write_dl(list(GROUPS.items()))
 
 
-@click.group(cls=Lazy)
+@click.group(cls=LazyGroup)
 @click.option("--log", type=click.Choice(["console", "json"]), default="console",
-              help="Form of the log lines.")
+              help="Format of the log.")
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 def group(log: str, log_level: str) -> None:
-    """moleworks: a gateway for large fleets, and what runs it through failures."""
+    """Services and tools around the gateway: store, list of hosts, prober and test rig."""
     from moleworks import logs
     logs.setup(log, log_level)
 
 
 def run(args: list[str] | None = None) -> Any:
-    """Run the command.  A file that is wrong is one line a fault and exit 2, whatever the command."""
+    """Run the command.  Errors in a file are printed one per line, with exit code 2, for every command."""
     from moleworks.config import ConfigError
     try:
         code = group.main(args, "moleworks", standalone_mode=False)
--- a/moleworks/cli/common.py
+++ b/moleworks/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands that talk to a store share."""
+"""Options and helpers of the commands that use the store."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 from moleworks.config import ConfigError
 
 STORE = click.option("--store", envvar="MOLEWORKS_STORE", required=True, metavar="[NAME=]HOST:PORT,...",
-                     help="Members to ask, or $MOLEWORKS_STORE.  With names a member is reached only where this says.")
+                     help="Members to contact, or $MOLEWORKS_STORE.  With names only these addresses are used.")
 CLUSTER = click.option("--cluster", envvar="MOLEWORKS_CLUSTER", default="main", show_default=True,
                        help="The cluster's name, or $MOLEWORKS_CLUSTER.")
 TIMEOUT = click.option("--timeout", type=click.FloatRange(0, min_open=True), default=10.0, show_default=True,
-                       help="Seconds for an answer.")
+                       help="Seconds to wait for a reply.")
 
 
-def address(text: str, what: str) -> tuple[str, int]:
-    """HOST:PORT.  Raises ConfigError."""
+def parse_address(text: str, option: str) -> tuple[str, int]:
+    """Parse HOST:PORT.  Raises ConfigError."""
     try:
         return wire.parse_address(text)
     except ValueError as error:
-        raise ConfigError([f"{what}: {error}"]) from None
+        raise ConfigError([f"{option}: {error}"]) from None
 
 
-def members(store: str) -> dict[str, tuple[str, int]] | list[tuple[str, int]]:
-    """The members that --store names.  Raises ConfigError."""
+def parse_members(store: str) -> dict[str, tuple[str, int]] | list[tuple[str, int]]:
+    """The members given by --store.  Raises ConfigError."""
     pairs = [text.rpartition("=") for text in store.split(",")]
-    found = [address(where, "--store") for _, _, where in pairs]
+    addresses = [parse_address(text, "--store") for _, _, text in pairs]
     names = [name for name, _, _ in pairs]
     if all(names):
-        return dict(zip(names, found, strict=True))
+        return dict(zip(names, addresses, strict=True))
     if any(names):
-        raise ConfigError(["--store: all members must have names, or none"])
-    return found
+        raise ConfigError(["--store: either all members must have names or none"])
+    return addresses
 
 
-def ask(store: str, cluster: str, timeout: float, act: Callable[[Any], Coroutine[Any, Any, int]]) -> int:
-    """Run `act` with a client; exit 1 with one line where the store does not answer or won't."""
+def run_with_client(store: str, cluster: str, timeout: float, action: Callable[[Any], Coroutine[Any, Any, int]]) -> int:
+    """Run `action` with a client; prints one line and returns 1 if the store is unavailable or refuses the request."""
     from moleworks.store.client import Client, Refused, Unavailable
-    addresses = members(store)
+    addresses = parse_members(store)
 
     async def main() -> int:
         async with Client(addresses, cluster, timeout) as client:
-            return await act(client)
+            return await action(client)
     try:
         return asyncio.run(main())
     except (Refused, Unavailable) as error:
--- a/moleworks/cli/config.py
+++ b/moleworks/cli/config.py
@@ -1,4 +1,4 @@
-"""`moleworks config`: the files' one checker, from the command line."""
+"""`moleworks config`: check configuration files."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 @group.command()
 @click.argument("files", nargs=-1, required=True)
 def check(files: tuple[str, ...]) -> int:
-    """Check experiments; every fault is one line, and exit 2 if there is one."""
-    told: list[str] = []
+    """Check experiments.  Each error is printed on one line; exit 2 if there is any."""
+    errors: list[str] = []
     for file in files:
         try:
             runner.load_any(file)
             click.echo(f"{file}: is right")
         except config.ConfigError as error:
-            told += error.lines
-    for line in told:
+            errors += error.lines
+    for line in errors:
         print(line, file=sys.stderr)
-    return 2 if told else 0
+    return 2 if errors else 0
 
 
 @group.command()
 @click.argument("file")
 def show(file: str) -> None:
-    """Print an experiment with all its defaults, as JSON."""
+    """Print an experiment with all defaults filled in, as JSON."""
     experiment = runner.load_any(file)
     click.echo(msgspec.json.format(msgspec.json.encode(experiment), indent=2).decode())
 
--- a/moleworks/cli/prober.py
+++ b/moleworks/cli/prober.py
@@ -1,4 +1,4 @@
-"""`moleworks prober`: probe a zone's hosts, in one process for all."""
+"""`moleworks prober`: check the health of a zone's hosts in one process on behalf of all gateways."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 from moleworks.config import ConfigError
 
-from .common import CLUSTER, STORE, address, ask
+from .common import CLUSTER, STORE, parse_address, run_with_client
 
 
-def _allowed(path: Path, zone: str) -> bool:
-    """Whether these settings (a gateway's configuration) allow probes.  Raises ConfigError."""
+def _probes_allowed(path: Path, zone: str) -> bool:
+    """Whether the settings in a gateway's configuration allow probes.  Raises ConfigError."""
     try:
-        told = msgspec.json.decode(path.read_bytes())
-        settings = told["settings"]
+        configuration = msgspec.json.decode(path.read_bytes())
+        settings = configuration["settings"]
         zones, allowed = settings["zones"], settings.get("caps", {}).get("probes", False)
     except OSError as error:
         raise ConfigError([f"{path}: {error.strerror or error}"]) from None
@@ -34,10 +34,10 @@
 
 @click.command()
 @click.option("--settings", required=True, type=click.Path(path_type=Path, dir_okay=False),
-              help="A gateway's configuration: whether probes are allowed, and which zones there are.")
+              help="A gateway's configuration, which says whether probes are allowed and which zones exist.")
 @click.option("--zone", required=True)
-@click.option("--registry", required=True, metavar="HOST:PORT,...", help="List services.")
-@click.option("--every", type=click.FloatRange(0.05, 3600), default=1.0, show_default=True, help="Seconds a round.")
+@click.option("--registry", required=True, metavar="HOST:PORT,...", help="Addresses of list services.")
+@click.option("--every", type=click.FloatRange(0.05, 3600), default=1.0, show_default=True, help="Seconds per round.")
 @click.option("--ttl-ms", type=click.IntRange(100, 3_600_000), default=3000, show_default=True)
 @click.option("--name", default=lambda: f"{os.uname().nodename}-{os.getpid()}")
 @STORE
@@ -46,21 +46,21 @@
           cluster: str) -> int:
     """Probe a zone's hosts while this process holds the duty probe/ZONE; verdicts are records under verdicts/ZONE/.
 
-    Where the settings forbid probes it says so and ends with 0, having asked nobody.
+    If the settings do not allow probes, it prints that and exits with 0 without probing any host.
     """
-    addresses = [address(text, "--registry") for text in registry.split(",")]
-    if not _allowed(settings, zone):
+    addresses = [parse_address(text, "--registry") for text in registry.split(",")]
+    if not _probes_allowed(settings, zone):
         click.echo(f"{settings}: probes are not allowed: off")
         return 0
     from moleworks.registry.lists import ListClient
     from moleworks.registry.prober import Prober
 
-    async def act(client: Any) -> int:
+    async def action(client: Any) -> int:
         task = asyncio.ensure_future(
             Prober(client, ListClient(addresses), zone, name, every, min(0.3, every / 2), ttl_ms).run())
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-        with contextlib.suppress(asyncio.CancelledError):   # it lets go of the duty, so that another follows at once
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(signal_number, task.cancel)
+        with contextlib.suppress(asyncio.CancelledError):   # the duty is released for another process
             await task
         return 0
-    return ask(store, cluster, ttl_ms / 1000, act)
+    return run_with_client(store, cluster, ttl_ms / 1000, action)
--- a/moleworks/cli/registry.py
+++ b/moleworks/cli/registry.py
@@ -1,4 +1,4 @@
-"""`moleworks registry`: serve the list, read it, change it."""
+"""`moleworks registry`: serve, read and change the list of hosts."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 import click
 
-from .common import CLUSTER, STORE, address, members
+from .common import CLUSTER, STORE, parse_address, parse_members
 
 REGISTRY = click.option("--registry", envvar="MOLEWORKS_REGISTRY", required=True, metavar="HOST:PORT,...",
-                        help="List services, or $MOLEWORKS_REGISTRY.")
+                        help="Addresses of list services, or $MOLEWORKS_REGISTRY.")
 
 
 @click.group()
 def group() -> None:
-    """The list of hosts: served, watched, changed."""
+    """Serve, watch and change the list of hosts."""
 
 
 def _addresses(registry: str) -> list[tuple[str, int]]:
-    return [address(text, "--registry") for text in registry.split(",")]
+    return [parse_address(text, "--registry") for text in registry.split(",")]
 
 
 @group.command()
-@click.option("--name", required=True, help="This service's name; each has its own.")
+@click.option("--name", required=True, help="This service's name, which must be unique.")
 @click.option("--listen", required=True, metavar="HOST:PORT")
 @click.option("--bound", type=click.FloatRange(0.5, 3600), default=5.0, show_default=True,
               help="Seconds: a list that may be older is not given out, but to who insists (stale=1).")
 @click.option("--share", type=click.FloatRange(0, 1), default=0.25, show_default=True,
-              help="Of a zone's hosts that may fall silent at once and be taken out; more are doubtful and stay.")
+              help="Share of a zone's hosts that may expire at the same time; if more are silent, they are kept.")
 @STORE
 @CLUSTER
 def serve(name: str, listen: str, bound: float, share: float, store: str, cluster: str) -> int:
@@ -43,14 +43,14 @@
     from moleworks.registry.http import RegistryApp
     from moleworks.registry.http import serve as serve_registry
     from moleworks.store.client import Client
-    where = address(listen, "--listen")
-    asked = members(store)
+    where = parse_address(listen, "--listen")
+    store_members = parse_members(store)
 
     async def main() -> None:
-        async with Client(asked, cluster, 3.0) as client:
+        async with Client(store_members, cluster, 3.0) as client:
             task = asyncio.ensure_future(serve_registry(RegistryApp(client, name, Limits(share), bound), where))
-            for number in (signal.SIGTERM, signal.SIGINT):
-                asyncio.get_running_loop().add_signal_handler(number, task.cancel)
+            for signal_number in (signal.SIGTERM, signal.SIGINT):
+                asyncio.get_running_loop().add_signal_handler(signal_number, task.cancel)
             with contextlib.suppress(asyncio.CancelledError):
                 await task
     try:
@@ -61,89 +61,89 @@
     return 0
 
 
-def _call(registry: str, method: str, path: str, told: Any, show: Callable[[Any], None]) -> int:
-    """One call, to the first service that answers; exit 1 with one line where none does or it won't."""
+def _call(registry: str, method: str, path: str, body: Any, show: Callable[[Any], None]) -> int:
+    """Send a request to the services in turn; prints one line and returns 1 if none responds or one rejects it."""
     import aiohttp
 
     async def main() -> int:
-        why = "no service answers"
+        reason = "no service responded"
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=5.0)) as http:
             for host, port in _addresses(registry):
                 try:
-                    async with http.request(method, f"http://{host}:{port}/registry/{path}", json=told) as answer:
-                        found = await answer.json()
-                        if answer.status == 200:
-                            show(found)
+                    async with http.request(method, f"http://{host}:{port}/registry/{path}", json=body) as response:
+                        reply = await response.json()
+                        if response.status == 200:
+                            show(reply)
                             return 0
-                        why = found.get("error", f"answer {answer.status}")
-                        if answer.status < 500:
+                        reason = reply.get("error", f"HTTP status {response.status}")
+                        if response.status < 500:
                             break
                 except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-                    why = f"{host}:{port}: {type(error).__name__} {error}"
-        print(f"moleworks: {why}", file=sys.stderr)
+                    reason = f"{host}:{port}: {type(error).__name__} {error}"
+        print(f"moleworks: {reason}", file=sys.stderr)
         return 1
     return asyncio.run(main())
 
 
-def _words(row: dict[str, Any]) -> str:
+def _format_row(row: dict[str, Any]) -> str:
     return (f"{row['instanceId']} {row['hostPort']} {row['zone']} {row['lifecycle']} weight {row['weight']:g}"
             + (f" cell {row['cell']}" if row["cell"] else ""))
 
 
 @group.command("list")
-@click.option("--stale", is_flag=True, help="The last known one, however old.")
+@click.option("--stale", is_flag=True, help="Accept the last known list, whatever its age.")
 @REGISTRY
 def list_(stale: bool, registry: str) -> int:
-    """The list: name, address, zone, lifecycle, weight."""
-    def show(found: Any) -> None:
-        click.echo(f"version {found['generation']}")
-        for row in sorted(found["instances"], key=lambda row: str(row["instanceId"])):
-            click.echo(_words(row))
+    """Print the list: name, address, zone, lifecycle, weight."""
+    def show(reply: Any) -> None:
+        click.echo(f"version {reply['generation']}")
+        for row in sorted(reply["instances"], key=lambda row: str(row["instanceId"])):
+            click.echo(_format_row(row))
     return _call(registry, "GET", "instances" + ("?stale=1" if stale else ""), None, show)
 
 
 @group.command()
 @REGISTRY
 def status(registry: str) -> int:
-    """Each service's own view, a line each; exit 1 if one does not answer."""
+    """Print the status of each service, one line each; exit 1 if one does not respond."""
     code = 0
     for text in registry.split(","):
-        def show(found: Any, text: str = text) -> None:
+        def show(reply: Any, text: str = text) -> None:
             click.echo(
-                f"{text} {found['service']} version {found['generation']} hosts {found['hosts']} "
-                f"watchers {found['watchers']} refused {found['refused']}" + (" expires" if found["expires"] else "")
-                + (f" doubtful {','.join(found['doubtful'])}" if found["doubtful"] else ""))
+                f"{text} {reply['service']} version {reply['generation']} hosts {reply['hosts']} "
+                f"watchers {reply['watchers']} refused {reply['refused']}" + (" expires" if reply["expires"] else "")
+                + (f" doubtful {','.join(reply['doubtful'])}" if reply["doubtful"] else ""))
         code |= _call(text, "GET", "status", None, show)
     return code
 
 
 @group.command()
 @click.argument("hosts", nargs=-1, metavar="NAME=HOST:PORT@ZONE...")
-@click.option("--drain", multiple=True, metavar="NAME", help="In the same version.")
-@click.option("--remove", multiple=True, metavar="NAME", help="In the same version.")
+@click.option("--drain", multiple=True, metavar="NAME", help="Drain a host in the same version.")
+@click.option("--remove", multiple=True, metavar="NAME", help="Remove a host in the same version.")
 @REGISTRY
 def put(hosts: tuple[str, ...], drain: tuple[str, ...], remove: tuple[str, ...], registry: str) -> int:
-    """Put hosts into the list, drain and remove others, all in one version.  They stay until they are removed."""
+    """Add or update hosts, drain and remove others, all in one version.  Added hosts stay until they are removed."""
     rows = []
     for text in hosts:
-        name, _, rest = text.partition("=")
-        where, _, zone = rest.rpartition("@")
+        name, _, target = text.partition("=")
+        where, _, zone = target.rpartition("@")
         if not name or not zone:
             raise click.UsageError(f"must be NAME=HOST:PORT@ZONE, not {text!r}")
-        address(where, text)
+        parse_address(where, text)
         rows.append({"instanceId": name, "hostPort": where, "zone": zone})
     return _change(registry, {"put": rows, "drain": list(drain), "remove": list(remove)})
 
 
-def _change(registry: str, told: dict[str, Any]) -> int:
-    return _call(registry, "POST", "changes", told, lambda found: click.echo(f"version {found['generation']}"))
+def _change(registry: str, body: dict[str, Any]) -> int:
+    return _call(registry, "POST", "changes", body, lambda reply: click.echo(f"version {reply['generation']}"))
 
 
 @group.command()
 @click.argument("names", nargs=-1, required=True)
 @REGISTRY
 def drain(names: tuple[str, ...], registry: str) -> int:
-    """Let hosts finish what they have; all in one version."""
+    """Drain hosts, all in one version."""
     return _change(registry, {"drain": list(names)})
 
 
@@ -151,20 +151,21 @@
 @click.argument("names", nargs=-1, required=True)
 @REGISTRY
 def remove(names: tuple[str, ...], registry: str) -> int:
-    """Take hosts out; all in one version."""
+    """Remove hosts, all in one version."""
     return _change(registry, {"remove": list(names)})
 
 
 @group.command()
-@click.option("--from", "version", type=click.IntRange(0), default=0, help="After this version; all that are known.")
+@click.option("--from", "version", type=click.IntRange(0), default=0,
+              help="Print versions later than this one; default: all that are retained.")
 @REGISTRY
 def history(version: int, registry: str) -> int:
-    """Versions that are still known, and what each changed."""
-    def show(found: Any) -> None:
-        click.echo(f"known after version {found['first']}")
-        for one in found["versions"]:
-            for row in one["instances"]:
-                click.echo(f"{one['generation']} {_words(row)}")
+    """Print the retained versions and the changes of each."""
+    def show(reply: Any) -> None:
+        click.echo(f"known after version {reply['first']}")
+        for version_entry in reply["versions"]:
+            for row in version_entry["instances"]:
+                click.echo(f"{version_entry['generation']} {_format_row(row)}")
     return _call(registry, "GET", f"history?from={version}", None, show)
 
 
@@ -173,27 +174,28 @@
 @click.argument("last", type=click.IntRange(0))
 @REGISTRY
 def diff(first: int, last: int, registry: str) -> int:
-    """What changed from one version to another: the last word on each host.  Exit 1 where it is not known any more."""
+    """Print the latest change of each host between two versions.  Exit 1 if FIRST is no longer retained."""
     code = 0
 
-    def show(found: Any) -> None:
+    def show(reply: Any) -> None:
         nonlocal code
-        if first < found["first"]:
-            print(f"moleworks: versions are known after {found['first']} only", file=sys.stderr)
+        if first < reply["first"]:
+            print(f"moleworks: only versions after {reply['first']} are retained", file=sys.stderr)
             code = 1
             return
-        rows = {row["instanceId"]: row for one in found["versions"] if one["generation"] <= last
-                for row in one["instances"]}
+        rows = {row["instanceId"]: row for version_entry in reply["versions"] if version_entry["generation"] <= last
+                for row in version_entry["instances"]}
         for row in rows.values():
-            click.echo(_words(row))
+            click.echo(_format_row(row))
     return _call(registry, "GET", f"history?from={first}", None, show) or code
 
 
 @group.command()
-@click.option("--for", "seconds", type=click.FloatRange(0, min_open=True), default=None, help="Seconds; until Ctrl-C.")
+@click.option("--for", "seconds", type=click.FloatRange(0, min_open=True), default=None,
+              help="Seconds to run; without it until Ctrl-C.")
 @REGISTRY
 def watch(seconds: float | None, registry: str) -> int:
-    """Print the list and its changes as they come, whichever service tells them."""
+    """Print the list and its changes as they arrive from any service."""
     from moleworks.registry.lists import ListClient
 
     async def main() -> None:
@@ -212,25 +214,25 @@
 @click.option("--zone", required=True)
 @click.option("--ttl-ms", type=click.IntRange(500, 3_600_000), default=15_000, show_default=True)
 @click.option("--grace", type=click.FloatRange(0), default=5.0, show_default=True,
-              help="Seconds between drain and end, after SIGTERM.")
+              help="Seconds between drain and removal after SIGTERM.")
 @REGISTRY
 def keep(name: str, where: str, zone: str, ttl_ms: int, grace: float, registry: str) -> int:
-    """Keep a host in the list while this runs; at SIGTERM it drains, then ends.  Exit 75: its name was taken."""
+    """Keep a host registered until SIGTERM, then drain and remove it.  Exit 75 if another process took its name."""
     from moleworks.registry.registration import Registration, Replaced
-    address(where, "HOST:PORT")
-    one = Registration(_addresses(registry), name, {"hostPort": where, "zone": zone}, ttl_ms)
+    parse_address(where, "HOST:PORT")
+    registration = Registration(_addresses(registry), name, {"hostPort": where, "zone": zone}, ttl_ms)
 
     async def main() -> None:
-        ends = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, ends.set)
-        await one.run(ends)
+        stop = asyncio.Event()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
+        await registration.run(stop)
         await asyncio.sleep(grace)
-        await one.end()
+        await registration.end()
     try:
         asyncio.run(main())
     except Replaced:
-        print(f"moleworks: {name} is another process's now", file=sys.stderr)
+        print(f"moleworks: {name} has been registered by another process", file=sys.stderr)
         return 75
     except ValueError as error:
         print(f"moleworks: {error}", file=sys.stderr)
--- a/moleworks/cli/rig.py
+++ b/moleworks/cli/rig.py
@@ -12,16 +12,19 @@
 import click
 
 OUT = click.option("--out", required=True, type=click.Path(path_type=Path, file_okay=False),
-                   help="Folder for what it leaves.")
-SEED = click.option("--seed", type=click.IntRange(0, (1 << 62) - 1), default=None, help="In place of the file's own.")
+                   help="Folder for the results.")
+SEED = click.option("--seed", type=click.IntRange(0, (1 << 62) - 1), default=None,
+                    help="Seed to use instead of the file's.")
 SEEDS = click.option("--seeds", default="1-20", show_default=True, help="Such as 7, 1-100 or 1,4,9.")
-SETS = click.option("--set", "sets", multiple=True, metavar="PATH=V,V", help="A place in the file and its values.")
-JOBS = click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Runs at once; as many as cores.")
+SETS = click.option("--set", "sets", multiple=True, metavar="PATH=V,V",
+                    help="A path in the file and the values to try.")
+JOBS = click.option("--jobs", type=click.IntRange(1, 256), default=None,
+                    help="Concurrent runs; default: the number of cores.")
 
 
 @click.group()
 def group() -> None:
-    """Run a fleet with faults between its processes, and judge it."""
+    """Run a fleet under injected faults and check the results."""
 
 
 @group.command()
@@ -29,7 +32,7 @@
 @OUT
 @SEED
 def run(file: str, out: Path, seed: int | None) -> int:
-    """Play an experiment: exit 0 if what must hold held, 1 if not, 2 if the file is wrong."""
+    """Run an experiment.  Exit 0 if all checks passed, 1 if not, 2 if the file is invalid."""
     from moleworks.rig import runner
     result = runner.run(file, out, seed)
     figures = result["figures"]
@@ -45,12 +48,12 @@
 
 
 def _workers(jobs: int | None, driver: str) -> int:
-    """As many as cores; one where real sockets must not disturb each other."""
+    """The number of workers: one per core, or one if runs on real sockets could disturb each other."""
     return jobs or (1 if driver == "real" else len(os.sched_getaffinity(0)))
 
 
-def _prepared(file: str, out: Path, seeds: str, sets: tuple[str, ...]) -> tuple[Any, Any, Any]:
-    """The runs that are planned, their experiment, and the table of results in a folder that is ready."""
+def _prepare(file: str, out: Path, seeds: str, sets: tuple[str, ...]) -> tuple[Any, Any, Any]:
+    """Prepare the output folder; returns the planned runs, their experiment and the table of results."""
     from moleworks.rig import runner
     from moleworks.rig import sweep as sweeping
     planned = sweeping.jobs(file, list(sets), sweeping.seeds_of(seeds))
@@ -66,10 +69,10 @@
 @SETS
 @JOBS
 def sweep(file: str, out: Path, seeds: str, sets: tuple[str, ...], jobs: int | None) -> int:
-    """Play many seeds and parameters on all cores; stopped, it goes on where it was.  Exit 1 if one broke."""
+    """Run many seeds and parameters on all cores; resumes an interrupted sweep.  Exit 1 if any run failed."""
     from moleworks.rig import report
     from moleworks.rig import sweep as sweeping
-    planned, experiment, results = _prepared(file, out, seeds, sets)
+    planned, experiment, results = _prepare(file, out, seeds, sets)
     counts: dict[str, int] = {}
     for job, result in sweeping.run(planned, results, _workers(jobs, experiment.driver), out / "broken",
                                     not sys.stderr.isatty()):
@@ -90,13 +93,13 @@
 @SETS
 @JOBS
 @click.option("--versions", required=True, help="worktree, git revisions, or random, round_robin, least, two, "
-              "two_budget; by commas, the first is what the others are compared with.")
+              "two_budget, separated by commas; the others are compared with the first.")
 def compare(file: str, out: Path, seeds: str, sets: tuple[str, ...], jobs: int | None, versions: str) -> int:
-    """Play versions and baselines on the same worlds and seeds; differences in pairs, with 95% intervals."""
+    """Run versions and baselines on the same worlds and seeds; reports paired differences with 95% intervals."""
     from moleworks.rig import compare as comparing
     from moleworks.rig import report
     from moleworks.rig import sweep as sweeping
-    planned, experiment, results = _prepared(file, out, seeds, sets)
+    planned, experiment, results = _prepare(file, out, seeds, sets)
     with comparing.checkouts(versions.split(","), experiment.driver == "real") as found:
         played = list(sweeping.run(comparing.expand(planned, found), results, _workers(jobs, experiment.driver), None,
                                    not sys.stderr.isatty()))
@@ -114,9 +117,9 @@
 @OUT
 @click.option("--seeds", default="0-9999", show_default=True, help="Such as 7, 0-9999 or 1,4,9.")
 @JOBS
-@click.option("--mutants", is_flag=True, help="Put known errors in instead, and look how soon each is found.")
+@click.option("--mutants", is_flag=True, help="Inject known bugs and report how soon each is found.")
 def histories(out: Path, seeds: str, jobs: int | None, mutants: bool) -> int:
-    """Play the store in virtual time under faults, one history a seed, and judge each.  Exit 1 if one broke."""
+    """Simulate the store under faults in virtual time, one history per seed.  Exit 1 if any fails its checks."""
     from moleworks.rig import report, runner
     from moleworks.rig import sweep as sweeping
     from moleworks.rig.virtual import histories as playing
@@ -134,10 +137,10 @@
     broken = [verdict for verdict in verdicts if verdict.broken]
     for verdict in broken[:20]:
         click.echo(f"seed {verdict.seed}: {'; '.join(verdict.broken[:3])}")
-    sums = {name: sum(row[name] for row in rows)
+    totals = {name: sum(row[name] for row in rows)
             for name in ("operations", "elections", "moves", "grants", "undecided")}
     click.echo(f"{len(rows)} histories in {seconds:.1f} s, {len(rows) / seconds:.0f} a second: {len(broken)} broken; "
-               + ", ".join(f"{value} {name}" for name, value in sums.items()))
+               + ", ".join(f"{value} {name}" for name, value in totals.items()))
     return 1 if broken else 0
 
 
@@ -146,10 +149,10 @@
 @OUT
 @click.option("--seeds", default="1-10", show_default=True, help="Such as 7, 1-100 or 1,4,9.")
 @click.option("--seconds", type=click.FloatRange(0, 600, min_open=True), default=6.0, show_default=True,
-              help="Without a file: 8 faults at random in so long.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=3, show_default=True, help="Runs at once.")
+              help="Length of a run without a FILE, with 8 random faults.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=3, show_default=True, help="Concurrent runs.")
 def members(file: str | None, out: Path, seeds: str, seconds: float, jobs: int) -> int:
-    """Run real members of the store under faults, one run a seed, by a FILE or at random.  Exit 1 if one broke."""
+    """Run real members of the store under faults from FILE or at random, one run per seed.  Exit 1 if any fails."""
     from concurrent.futures import ProcessPoolExecutor, as_completed
 
     from moleworks.rig import report, runner, store_spec
@@ -161,7 +164,7 @@
         found = (runner.load_any(file, seed) if file is not None else store_spec.StoreExperiment(
             "Faults at random", "members", seed, seconds, drawn=8))
         if not isinstance(found, store_spec.StoreExperiment):
-            raise click.UsageError(f"{file}: is not of driver members")
+            raise click.UsageError(f"{file}: must have the driver members")
         planned.append(found)
     rows = []
     with ProcessPoolExecutor(jobs) as pool:
@@ -174,12 +177,12 @@
                 click.echo(f"seed {result['seed']}: {'; '.join(result['broken'][:3])}; {out / str(result['seed'])}")
     rows.sort(key=lambda row: row["seed"])
     report.table_report(out, "Real members under faults", rows)
-    sums = {name: sum(row.get(name, 0) for row in rows)
+    totals = {name: sum(row.get(name, 0) for row in rows)
             for name in ("faults", "operations", "unknown", "grants", "acts", "refused", "events", "undecided")}
     worst = {name: max(row.get(name, 0) for row in rows)
              for name in ("write_p99_ms", "write_gap_s", "takeover_ms", "handover_ms")}
     broken = sum(row["verdict"] != "held" for row in rows)
-    click.echo(f"{len(rows)} runs, {broken} broken: " + ", ".join(f"{value} {name}" for name, value in sums.items())
+    click.echo(f"{len(rows)} runs, {broken} broken: " + ", ".join(f"{value} {name}" for name, value in totals.items())
                + "; at most " + ", ".join(f"{name} {value:g}" for name, value in worst.items()))
     return 1 if broken else 0
 
@@ -188,7 +191,7 @@
 @click.option("--changes", type=click.IntRange(100, 100_000_000), default=1_000_000, show_default=True)
 @click.option("--clients", type=click.IntRange(1, 2000), default=128, show_default=True)
 def endure(changes: int, clients: int) -> int:
-    """So many changes on three members: their memory meanwhile, and how soon each is back after SIGKILL."""
+    """Write many changes to three members; prints their memory use and how soon each recovers after SIGKILL."""
     import asyncio
 
     from moleworks.rig.real import endure as enduring
@@ -202,7 +205,7 @@
 @click.option("--rps", type=click.FloatRange(1, 2000), default=120.0, show_default=True)
 @click.option("--seconds", type=click.FloatRange(10, 3600), default=300.0, show_default=True)
 def outage(hosts: int, rps: float, seconds: float) -> int:
-    """Gateways on the own list, with its services and with all of them down.  Exit 1 below 0.99 of what was in time."""
+    """Compare gateways with all list services up and with all down.  Exit 1 below 0.99 of the in-time share."""
     from moleworks.rig.real import outage as running
     rows = running.compare(hosts, rps, seconds)
     for row in rows:
@@ -216,13 +219,14 @@
 @OUT
 @click.option("--seeds", default="0-999", show_default=True, help="Such as 7, 0-999 or 1,4,9.")
 @click.option("--members", type=click.IntRange(2, 500), default=5, show_default=True)
-@click.option("--loss", type=click.FloatRange(0, 0.9), default=None, help="Of datagrams; drawn by the seed.")
-@click.option("--calm", is_flag=True, help="No other faults: spread, false alarms and bytes.")
-@click.option("--mutants", is_flag=True, help="Put known errors in instead, and look how soon each is found.")
+@click.option("--loss", type=click.FloatRange(0, 0.9), default=None,
+              help="Share of datagrams lost; default: drawn from the seed.")
+@click.option("--calm", is_flag=True, help="No other faults; for figures of spread, false alarms and bytes.")
+@click.option("--mutants", is_flag=True, help="Inject known bugs and report how soon each is found.")
 @JOBS
 def gossip(out: Path, seeds: str, members: int, loss: float | None, calm: bool, mutants: bool,
            jobs: int | None) -> int:
-    """Play members that share state in virtual time under faults, one history a seed.  Exit 1 if one broke."""
+    """Simulate gossip between members under faults in virtual time, one history per seed.  Exit 1 if any fails."""
     import functools
     import time
     from concurrent.futures import ProcessPoolExecutor
@@ -238,7 +242,7 @@
             click.echo(f"{name:38} {count or 'not found':>9}  {seen[:120]}")
         return 0 if all(count for count, _ in found.values()) else 1
     settings = playing.Settings(members, 60.0 if calm else 40.0, loss=-1.0 if loss is None else loss, faults=not calm)
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     rows, broken = [], 0
     with ProcessPoolExecutor(_workers(jobs, "virtual")) as pool:
         for told, row in pool.map(functools.partial(playing.judged, settings=settings), numbers):
@@ -247,7 +251,7 @@
             if told and broken <= 10:
                 click.echo(f"seed {row['seed']}: {told[0]}")
     report.table_report(out, "Members that share state", rows)
-    click.echo(f"{len(rows)} histories in {time.perf_counter() - begun:.1f} s: {broken} broken; "
+    click.echo(f"{len(rows)} histories in {time.perf_counter() - started_at:.1f} s: {broken} broken; "
                f"{sum(row['checked'] for row in rows)} ages looked at, "
                + ", ".join(f"{name} {max(row[name] for row in rows)}"
                            for name in ("age_p99_s", "age_p999_s", "kb_s_a_member", "settled_s", "false_alarms")))
@@ -261,7 +265,7 @@
 @click.option("--cuts", type=click.IntRange(0, 1), default=1, show_default=True)
 @click.option("--most-s", type=click.FloatRange(0, min_open=True), default=600.0, show_default=True)
 def explore(timeouts: int, writes: int, crashes: int, cuts: int, most_s: float) -> int:
-    """Search every state of three members of the store within a budget of what may happen.  Exit 1 if one is broken."""
+    """Check all states of three store members within a budget of events.  Exit 1 if any state breaks a rule."""
     from moleworks.rig.virtual import explore as exploring
     found = exploring.search(exploring.Budget(timeouts, writes, crashes, cuts), most_states=50_000_000, most_s=most_s)
     click.echo(f"{found.states} states, {found.steps} steps in {found.seconds:.0f} s: "
@@ -274,7 +278,7 @@
 @group.command("report")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 def report_command(folder: Path) -> int:
-    """Write the report of a folder anew: a run's from its history, a sweep's from its table."""
+    """Regenerate the report of a folder, from the history of a run or the table of a sweep."""
     from moleworks.rig import report
     from moleworks.rig import sweep as sweeping
     if (folder / "results.sqlite").exists():
@@ -302,7 +306,7 @@
 @click.option("--timeout-ms", type=click.IntRange(1, 600_000), default=800, show_default=True)
 @click.option("--seed", type=int, default=1)
 def load(address: str, cls: str, path: str, rps: float, seconds: float, timeout_ms: int, seed: int) -> None:
-    """Open-loop load on a loopback ADDRESS (host:port); latencies count from the planned time."""
+    """Send open-loop load to a loopback ADDRESS (host:port); latencies are measured from the planned send time."""
     from moleworks.rig.real import load as loading
     figures: dict[str, Any] = loading.run(address, cls, path, rps, seconds, timeout_ms, seed)
     for name, value in figures.items():
@@ -311,14 +315,16 @@
 
 @group.command()
 @click.argument("file", required=False)
-@click.option("--for", "seconds", type=click.FloatRange(0, min_open=True), default=None, help="Seconds; until Ctrl-C.")
+@click.option("--for", "seconds", type=click.FloatRange(0, min_open=True), default=None,
+              help="Seconds to run; without it until Ctrl-C.")
 @click.option("--gateways", type=click.IntRange(1, 100), default=None)
 @click.option("--hosts", type=click.IntRange(1, 500), default=None)
 @click.option("--rps", type=click.FloatRange(0, min_open=True), default=None)
-@click.option("--logs", type=click.Path(path_type=Path, file_okay=False), default=None, help="Keep the logs here.")
+@click.option("--logs", type=click.Path(path_type=Path, file_okay=False), default=None,
+              help="Folder in which to keep the logs.")
 def up(file: str | None, seconds: float | None, gateways: int | None, hosts: int | None, rps: float | None,
        logs: Path | None) -> int:
-    """Start a fleet and watch it live: 3 gateways, 12 hosts and their clients, or those of an experiment."""
+    """Start a fleet and show its state live: 3 gateways, 12 hosts and clients, or the fleet of an experiment."""
     from moleworks.rig import places, runner, spec
     from moleworks.rig.real import procs
     from moleworks.rig.real import up as showing
--- a/moleworks/config.py
+++ b/moleworks/config.py
@@ -1,6 +1,6 @@
-"""The one checker of the project's TOML files: schemas are msgspec structs, and every fault is told at once.
+"""Loads and validates the project's TOML files.  Schemas are msgspec structs; all errors are reported together.
 
-An error is one line, `FILE: PATH: what must hold`, such as `a.toml: world.hosts[0].cores: must be above 0`.
+Each error is one line, `FILE: PATH: requirement`, such as `a.toml: world.hosts[0].cores: must be above 0`.
 """
 
 from __future__ import annotations
@@ -18,107 +18,107 @@
 T = TypeVar("T")
 
 MAX_BYTES = 1 << 20
-"""The largest file taken, bytes: these are written by hand."""
+"""Limit for a file; the files are written by hand."""
 
 
 class ConfigError(Exception):
-    """A file that can't be used; `lines` holds one line for each fault."""
+    """A file or setting that can't be used; `lines` holds one line for each error."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
         self.lines = lines
 
 
-_KINDS = {"int": "a whole number", "float": "a number", "str": "text", "bool": "true or false",
-          "array": "a list", "object": "a table", "null": "nothing"}
-_RULES = ((re.compile(r"Expected `(?:int|float)` > (\S+)"), "must be above {}"),
-          (re.compile(r"Expected `(?:int|float)` >= (\S+)"), "must be at least {}"),
-          (re.compile(r"Expected `(?:int|float)` < (\S+)"), "must be below {}"),
-          (re.compile(r"Expected `(?:int|float)` <= (\S+)"), "must be at most {}"),
-          (re.compile(r"Expected `str` of length >= 1\b"), "must not be empty"),
-          (re.compile(r"Expected `str` matching regex '(.*)'"), "must match {}"),
-          (re.compile(r"Expected `\w+` of length (>=|<=) (\d+)"), "must have a length {} {}"),
-          (re.compile(r"Invalid enum value (.*)"), "can't be {}"))
+_TYPE_NAMES = {"int": "a whole number", "float": "a number", "str": "text", "bool": "true or false",
+               "array": "a list", "object": "a table", "null": "nothing"}
+_CONSTRAINTS = ((re.compile(r"Expected `(?:int|float)` > (\S+)"), "must be above {}"),
+                (re.compile(r"Expected `(?:int|float)` >= (\S+)"), "must be at least {}"),
+                (re.compile(r"Expected `(?:int|float)` < (\S+)"), "must be below {}"),
+                (re.compile(r"Expected `(?:int|float)` <= (\S+)"), "must be at most {}"),
+                (re.compile(r"Expected `str` of length >= 1\b"), "must not be empty"),
+                (re.compile(r"Expected `str` matching regex '(.*)'"), "must match {}"),
+                (re.compile(r"Expected `\w+` of length (>=|<=) (\d+)"), "must have a length {} {}"),
+                (re.compile(r"Invalid enum value (.*)"), "can't be {}"))
 
 
-def _words(error: str) -> str:
-    """What msgspec says, in words for whoever wrote the file."""
+def _describe(error: str) -> str:
+    """Rewrite an error of msgspec for the author of the file."""
     text, _, _ = error.partition(" - at `")
-    for pattern, words in _RULES:
+    for pattern, message in _CONSTRAINTS:
         if found := pattern.match(text):
-            return words.format(*(re.sub(r"(?<=\d)\.0$", "", group) for group in found.groups()))
+            return message.format(*(re.sub(r"(?<=\d)\.0$", "", group) for group in found.groups()))
     if found := re.match(r"Expected `([^`]+)`, got `([^`]+)`", text):
-        kinds = [kind.strip() for kind in found[1].split("|")]
-        wanted = " or ".join(_KINDS.get(kind, kind) for kind in kinds if kind != "null")
-        return f"must be {wanted}, not {_KINDS.get(found[2], found[2])}"
+        types_expected = [kind.strip() for kind in found[1].split("|")]
+        expected = " or ".join(_TYPE_NAMES.get(kind, kind) for kind in types_expected if kind != "null")
+        return f"must be {expected}, not {_TYPE_NAMES.get(found[2], found[2])}"
     return text[:1].lower() + text[1:]
 
 
-def _inner(kind: Any) -> Any:
-    """A type without its annotations and without `| None`."""
+def _unwrap(kind: Any) -> Any:
+    """Strip annotations and `| None` from a type."""
     while typing.get_origin(kind) is typing.Annotated:
         kind = typing.get_args(kind)[0]
     if typing.get_origin(kind) in (typing.Union, types.UnionType):
-        rest = [arg for arg in typing.get_args(kind) if arg is not type(None)]
-        if len(rest) == 1:
-            return _inner(rest[0])
+        alternatives = [arg for arg in typing.get_args(kind) if arg is not type(None)]
+        if len(alternatives) == 1:
+            return _unwrap(alternatives[0])
     return kind
 
 
-def faults(raw: Any, kind: Any, path: str = "") -> list[str]:
-    """Every fault of a value read from a file, as `path: what must hold`; an empty list if it is right."""
-    inner, at = _inner(kind), f"{path}: " if path else ""
-    if isinstance(inner, type) and issubclass(inner, msgspec.Struct):
+def find_errors(raw: Any, kind: Any, path: str = "") -> list[str]:
+    """All errors of a value read from a file, as `path: requirement`; an empty list if it is valid."""
+    unwrapped, prefix = _unwrap(kind), f"{path}: " if path else ""
+    if isinstance(unwrapped, type) and issubclass(unwrapped, msgspec.Struct):
         if not isinstance(raw, dict):
-            return [f"{at}must be a table"]
-        return _struct_faults(raw, inner, path)
-    origin, args = typing.get_origin(inner), typing.get_args(inner)
+            return [f"{prefix}must be a table"]
+        return _find_struct_errors(raw, unwrapped, path)
+    origin, args = typing.get_origin(unwrapped), typing.get_args(unwrapped)
     if origin in (list, tuple) and isinstance(raw, list) and args:
-        told = [line for index, item in enumerate(raw)
-                for line in faults(item, args[0], f"{path}[{index}]")]
-        if told:
-            return told
+        errors = [line for index, item in enumerate(raw)
+                  for line in find_errors(item, args[0], f"{path}[{index}]")]
+        if errors:
+            return errors
     if origin is dict and isinstance(raw, dict):
-        told = [line for name, item in raw.items() for line in faults(item, args[1], f"{path}.{name}")]
-        if told:
-            return told
+        errors = [line for name, item in raw.items() for line in find_errors(item, args[1], f"{path}.{name}")]
+        if errors:
+            return errors
     try:
         msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        return [f"{at}{_words(str(error))}"]
+        return [f"{prefix}{_describe(str(error))}"]
     return []
 
 
-def _struct_faults(raw: dict[str, Any], inner: Any, path: str) -> list[str]:
-    told: list[str] = []
-    fields = {field.encode_name: field for field in msgspec.structs.fields(inner)}
+def _find_struct_errors(raw: dict[str, Any], unwrapped: Any, path: str) -> list[str]:
+    errors: list[str] = []
+    fields = {field.encode_name: field for field in msgspec.structs.fields(unwrapped)}
     for name, value in raw.items():
-        where = f"{path}.{name}" if path else name
+        key_path = f"{path}.{name}" if path else name
         if name not in fields:
-            near = difflib.get_close_matches(name, fields, 1)
-            told.append(f"{where}: no such key" + (f" (did you mean {near[0]}?)" if near else ""))
+            similar = difflib.get_close_matches(name, fields, 1)
+            errors.append(f"{key_path}: no such key" + (f" (did you mean {similar[0]}?)" if similar else ""))
         else:
-            told += faults(value, fields[name].type, where)
-    told += [f"{path}.{name}: is missing".lstrip(".") for name, field in fields.items()
-             if field.required and name not in raw]
-    if not told:
+            errors += find_errors(value, fields[name].type, key_path)
+    errors += [f"{path}.{name}: is missing".lstrip(".") for name, field in fields.items()
+               if field.required and name not in raw]
+    if not errors:
         try:
-            msgspec.convert(raw, inner)   # what a struct checks as a whole
+            msgspec.convert(raw, unwrapped)   # checks of the struct itself, across its fields
         except msgspec.ValidationError as error:
-            told.append(f"{path}: {_words(str(error))}".removeprefix(": "))
-    return told
+            errors.append(f"{path}: {_describe(str(error))}".removeprefix(": "))
+    return errors
 
 
 def check(raw: Any, kind: type[T], file: str) -> T:
-    """A value of this type.  Raises ConfigError with all faults."""
-    told = faults(raw, kind)
-    if told:
-        raise ConfigError([f"{file}: {line}" for line in told])
+    """Convert a value to a type.  Raises ConfigError with all errors."""
+    errors = find_errors(raw, kind)
+    if errors:
+        raise ConfigError([f"{file}: {line}" for line in errors])
     return msgspec.convert(raw, kind)
 
 
 def read(path: str | Path) -> dict[str, Any]:
-    """A TOML file as plain tables.  Raises ConfigError where it can't be read."""
+    """Read a TOML file as plain tables.  Raises ConfigError if it can't be read."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_BYTES + 1)
@@ -132,5 +132,5 @@
 
 
 def load(path: str | Path, kind: type[T]) -> T:
-    """The file as this type.  Raises ConfigError with all faults."""
+    """Load a file as a type.  Raises ConfigError with all errors."""
     return check(read(path), kind, str(path))
--- a/moleworks/registry/service.py
+++ b/moleworks/registry/service.py
@@ -105,9 +105,9 @@
         records: list[Record] = []
         first, after = 0, ""
         while True:
-            answer = await client.list(PREFIX, PAGE_RECORDS, after)
-            rows = answer.rows or []
-            first = first or answer.revision
+            page = await client.list(PREFIX, PAGE_RECORDS, after)
+            rows = page.rows or []
+            first = first or page.revision
             records += rows
             if len(rows) < PAGE_RECORDS:
                 break
@@ -116,7 +116,7 @@
             if row.key == DOUBTFUL_KEY:
                 self.mirror.doubtful = DOUBTFUL_DECODER.decode(row.value).hosts
         return ({row.key.removeprefix(HOSTS_PREFIX): (row.revision, HOST_DECODER.decode(row.value))
-                 for row in records if row.key.startswith(HOSTS_PREFIX)}, first, answer.revision)
+                 for row in records if row.key.startswith(HOSTS_PREFIX)}, first, page.revision)
 
     @staticmethod
     def _merge_event(hosts: dict[str, tuple[int, Host]], event: Event) -> None:
--- a/moleworks/wire.py
+++ b/moleworks/wire.py
@@ -1,8 +1,8 @@
-"""Frames between processes: length, version, cluster, then MessagePack; 1 MiB at most.
+"""Framing of messages between processes: length, version, cluster, then MessagePack; at most 1 MiB.
 
     u32 length of what follows | u8 version | u64 cluster | MessagePack
 
-What is of another cluster, another version or no frame at all ends the connection, with one line that says why.
+A malformed frame or one of another cluster or version ends the connection, and the reason is logged in one line.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 VERSION = 1
 MAX_FRAME = 1 << 20
-_HEAD = struct.Struct(">IBQ")
+_HEADER = struct.Struct(">IBQ")
 
 
 class WireError(Exception):
-    """Something that is no frame of this cluster and version."""
+    """Malformed data, or a frame of another cluster or version."""
 
 
 def cluster_id(name: str) -> int:
-    """The number that stands for a cluster's name in each frame."""
+    """The number that identifies a cluster in each frame, a hash of its name."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """HOST:PORT.  Raises ValueError."""
+    """Parse HOST:PORT.  Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not int(port) < 65536:
         raise ValueError(f"must be HOST:PORT, not {text!r}")
@@ -35,26 +35,26 @@
 
 
 def encode_frame(cluster: int, payload: bytes) -> bytes:
-    """One frame.  Raises WireError where it would be too long."""
+    """Encode one frame.  Raises WireError if it would be too long."""
     if len(payload) + 9 > MAX_FRAME:
-        raise WireError(f"a frame of {len(payload)} bytes is too long")
-    return _HEAD.pack(len(payload) + 9, VERSION, cluster) + payload
+        raise WireError(f"frame too long: payload of {len(payload)} bytes")
+    return _HEADER.pack(len(payload) + 9, VERSION, cluster) + payload
 
 
 async def read_frame(reader: asyncio.StreamReader, cluster: int) -> bytes | None:
-    """The next frame's payload; None at the end.  Raises WireError."""
+    """Read the next frame's payload; None at the end of the stream.  Raises WireError."""
     try:
-        length, version, whose = _HEAD.unpack(await reader.readexactly(_HEAD.size))
+        length, version, frame_cluster = _HEADER.unpack(await reader.readexactly(_HEADER.size))
         if not 9 <= length <= MAX_FRAME:
-            raise WireError(f"a frame can't be {length} bytes long")
+            raise WireError(f"invalid frame length: {length} bytes")
         if version != VERSION:
-            raise WireError(f"a frame of version {version}; this is {VERSION}")
-        if whose != cluster:
-            raise WireError("a frame of another cluster")
+            raise WireError(f"frame of version {version}, expected version {VERSION}")
+        if frame_cluster != cluster:
+            raise WireError("frame of another cluster")
         return await reader.readexactly(length - 9)
     except asyncio.IncompleteReadError as error:
         if error.partial:
-            raise WireError("the connection ends inside a frame") from None
+            raise WireError("connection closed within a frame") from None
         return None
     except OSError:
         return None
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as it is installed."""
+"""The command line, run as a separate process."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @pytest.mark.parametrize(("package", "args"), [("click", "--help"), ("structlog", "store --help"),
                                                ("msgspec", "registry --help")])
-def test_a_missing_optional_package_is_told_in_one_line_and_no_traceback(package: str, args: str) -> None:
+def test_a_missing_optional_package_is_reported_in_one_line_without_a_traceback(package: str, args: str) -> None:
     code = f"import sys; sys.modules[{package!r}] = None; from moleworks.cli import main; main({args.split()!r})"
-    done = subprocess.run([sys.executable, "-B", "-c", code], capture_output=True, text=True, timeout=60, check=False)
-    assert done.returncode == 2
-    assert done.stderr.startswith(f"moleworks: the package {package} is not installed")
-    assert done.stderr.count("\n") == 1
+    result = subprocess.run([sys.executable, "-B", "-c", code], capture_output=True, text=True, timeout=60, check=False)
+    assert result.returncode == 2
+    assert result.stderr.startswith(f"moleworks: the package {package} is not installed")
+    assert result.stderr.count("\n") == 1
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -148,9 +148,9 @@
 class FakeListService:
     """A list service with one handler for one path."""
 
-    def __init__(self, answer: Answer, path: str = "/registry/instances") -> None:
+    def __init__(self, handler: Handler, path: str = "/registry/instances") -> None:
         app = web.Application()
-        app.router.add_get(path, answer)
+        app.router.add_get(path, handler)
         self._runner = web.AppRunner(app, access_log=None, handler_cancellation=True, shutdown_timeout=0.1)
         self.at = ("", 0)
 
@@ -166,11 +166,11 @@
         await self._runner.cleanup()
 
 
-Answer = Callable[[web.Request], Awaitable[web.StreamResponse]]
+Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def watch_handler(*lines: dict[str, Any], closes: bool = False, heartbeats: bool = False) -> Answer:
-    async def answer(request: web.Request) -> web.StreamResponse:
+def watch_handler(*lines: dict[str, Any], closes: bool = False, heartbeats: bool = False) -> Handler:
+    async def handler(request: web.Request) -> web.StreamResponse:
         response = web.StreamResponse()
         response.enable_chunked_encoding()
         await response.prepare(request)
@@ -182,7 +182,7 @@
         if not closes:
             await asyncio.sleep(60)
         return response
-    return answer
+    return handler
 
 
 async def unavailable(_: web.Request) -> web.StreamResponse:
@@ -279,11 +279,11 @@
         nonlocal service
         unhealthy = {"h1"}
 
-        def health_handler(name: str) -> Answer:
-            async def answer(_: web.Request) -> web.StreamResponse:
+        def health_handler(name: str) -> Handler:
+            async def handler(_: web.Request) -> web.StreamResponse:
                 probe_counts[name] = probe_counts.get(name, 0) + 1
                 return web.Response(status=503 if name in unhealthy else 200)
-            return answer
+            return handler
         async with contextlib.AsyncExitStack() as stack:
             rows = []
             for index in range(4):
