--- a/moleworks/cli/rig.py
+++ b/moleworks/cli/rig.py
@@ -245,11 +245,11 @@
     started_at = time.perf_counter()
     rows, broken = [], 0
     with ProcessPoolExecutor(_workers(jobs, "virtual")) as pool:
-        for told, row in pool.map(functools.partial(playing.judged, settings=settings), numbers):
-            rows.append({**row, "broken": "; ".join(told[:3])})
-            broken += bool(told)
-            if told and broken <= 10:
-                click.echo(f"seed {row['seed']}: {told[0]}")
+        for errors, row in pool.map(functools.partial(playing.judged, settings=settings), numbers):
+            rows.append({**row, "broken": "; ".join(errors[:3])})
+            broken += bool(errors)
+            if errors and broken <= 10:
+                click.echo(f"seed {row['seed']}: {errors[0]}")
     report.table_report(out, "Members that share state", rows)
     click.echo(f"{len(rows)} histories in {time.perf_counter() - started_at:.1f} s: {broken} broken; "
                f"{sum(row['checked'] for row in rows)} ages looked at, "
--- a/moleworks/logs.py
+++ b/moleworks/logs.py
@@ -9,7 +9,7 @@
 
 
 def setup(log_format: str = "console", level: str = "info") -> None:
-    """Configure logging; `form` is json or console.  Wall-clock time is used for log timestamps only."""
+    """Configure logging; `log_format` is json or console.  Wall-clock time is used for log timestamps only."""
     shared: list[structlog.typing.Processor] = [
         structlog.contextvars.merge_contextvars, structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True)]
--- a/moleworks/registry/http.py
+++ b/moleworks/registry/http.py
@@ -87,8 +87,8 @@
 
     def _wake_watches(self) -> None:
         """Wake all watches that wait for the next version."""
-        reached, self._next_version = self._next_version, asyncio.Event()
-        reached.set()
+        current, self._next_version = self._next_version, asyncio.Event()
+        current.set()
 
     def _unavailable(self, reason: str, after_s: float = 1.0) -> web.Response:
         self.refused += 1
--- a/moleworks/registry/prober.py
+++ b/moleworks/registry/prober.py
@@ -38,9 +38,9 @@
 class Prober:
     """Probes the hosts of one zone."""
 
-    def __init__(self, client: Client, lists: ListClient, zone: str, name: str, interval_s: float = 1.0,
+    def __init__(self, client: Client, list_client: ListClient, zone: str, name: str, interval_s: float = 1.0,
                  timeout_s: float = 0.3, ttl_ms: int = 3000) -> None:
-        self._client, self._lists, self._zone = client, lists, zone
+        self._client, self._list_client, self._zone = client, list_client, zone
         self._holder = Holder(client, f"probe/{zone}", name, ttl_ms)
         self._interval_s, self._timeout_s = interval_s, timeout_s
         self._prefix = f"{PREFIX}{zone}/"
@@ -67,7 +67,7 @@
             await self._holder.release()
 
     async def _follow_list(self) -> None:
-        async for _ in self._lists.watch():
+        async for _ in self._list_client.watch():
             pass
 
     async def _probe_zone(self, token: int) -> None:
@@ -80,12 +80,12 @@
         async with aiohttp.ClientSession(timeout=timeout, connector=connector) as session:
             while True:
                 started_at = time.monotonic()
-                rows = [row for row in self._lists.rows.values()
+                rows = [row for row in self._list_client.rows.values()
                         if row.zone == self._zone and row.lifecycle != DRAINING]
                 results = await asyncio.gather(*(self._probe_host(session, slots, row) for row in rows))
                 changed = verdicts.end_round({row.instance_id: why for row, why in zip(rows, results, strict=True)})
-                removed = (verdicts.forget(row.instance_id for row in self._lists.rows.values())
-                           if self._lists.rows else [])
+                removed = (verdicts.forget(row.instance_id for row in self._list_client.rows.values())
+                           if self._list_client.rows else [])
                 await self._write(token, changed, removed)
                 await asyncio.sleep(max(0.0, started_at + self._interval_s - time.monotonic()))
 
--- a/moleworks/registry/service.py
+++ b/moleworks/registry/service.py
@@ -242,33 +242,33 @@
         ops: list[Put | Delete] = [Put(HOSTS_PREFIX + host.row.instance_id, ENCODE(host)) for host in hosts]
         conditions = []
         for name in drain:
-            old, at = await self._read_host(name)
+            old, revision = await self._read_host(name)
             if old is None:
                 raise Conflict(f"{name} is not in the list")
             ops.append(Put(HOSTS_PREFIX + name, ENCODE(_with_lifecycle(old, DRAINING))))
-            conditions.append(Condition(HOSTS_PREFIX + name, at))
+            conditions.append(Condition(HOSTS_PREFIX + name, revision))
         ops += [Delete(HOSTS_PREFIX + name) for name in remove]
         return await self._write(ops, conditions)
 
     async def register(self, host: Host) -> int:
         """Register a host, or replace its session; idempotent for the same session.  Raises as `put`."""
         name = host.row.instance_id
-        old, at = await self._read_host(name)
+        old, revision = await self._read_host(name)
         if old is not None and old.session == host.session:
-            return at                # keeps its lifecycle, which may be draining by now
+            return revision                # keeps its lifecycle, which may be draining by now
         self._pending_sessions[host.session] = None
-        return await self._write([Put(HOSTS_PREFIX + name, ENCODE(host))], [Condition(HOSTS_PREFIX + name, at)])
+        return await self._write([Put(HOSTS_PREFIX + name, ENCODE(host))], [Condition(HOSTS_PREFIX + name, revision)])
 
     async def set_lifecycle(self, name: str, session: str, lifecycle: str) -> int:
         """Drain or remove a host on its own request.  Raises as `put`."""
-        old, at = await self._read_host(name)
+        old, revision = await self._read_host(name)
         if old is None or old.session != session:
             if old is None and lifecycle == TERMINATED:
                 return self.mirror.generation       # repeated request
             raise Conflict(f"{name} is not this session's")
         op = (Delete(HOSTS_PREFIX + name) if lifecycle == TERMINATED
               else Put(HOSTS_PREFIX + name, ENCODE(_with_lifecycle(old, lifecycle))))
-        return await self._write([op], [Condition(HOSTS_PREFIX + name, at)])
+        return await self._write([op], [Condition(HOSTS_PREFIX + name, revision)])
 
     async def _read_host(self, name: str) -> tuple[Host | None, int]:
         record = await self._client.get(HOSTS_PREFIX + name)
