--- a/bridgesaddle/api.py
+++ b/bridgesaddle/api.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple, Protocol
 
 HostId = Hashable
-"""The identity of a server.  Opaque: the module only compares it and passes it back."""
+"""The identity of a host, which decide.py calls a server.  Opaque: the module only compares it and passes it back."""
 
 MS = 1_000_000
 """Nanoseconds in a millisecond."""
@@ -22,7 +22,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may run more than once."""
+    """Whether a request that may have run may be sent again: SAFE always, KEYED within its group and window."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -38,7 +38,12 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a probe ended.
+
+    FULL: the host rejected it unprocessed.  RESET: after the request was written, the connection was lost or the
+    response was malformed.  CANCELLED: the gateway stopped waiting for it.  MOOT: it did not run, for a reason that is
+    not the host's.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -107,7 +112,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A request class: its worth, target latency (`aim_ns`) and deadline, and the effect of a repeat."""
+    """A request class: its worth, target latency (`aim_ns`) and deadline, and whether it may be sent again.
+
+    The hosts of `group` drop repeats of a keyed request for `window_ns` after its first attempt that may have run.
+    `late_worth` is the share of its worth that a response after the aim has.  `stream`: responses are streamed.
+    """
 
     name: str
     aim_ns: int
@@ -143,7 +152,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows or supports."""
+    """What the deployment allows or supports.
+
+    wire.py has other defaults: what the received settings do not name (as `cancel` and `allows_concurrent_attempts`)
+    is not supported.
+    """
 
     max_attempts: int = 3
     cancel: bool = True
@@ -151,12 +164,12 @@
     probes: bool = False
     peers: bool = False
     retry_after: bool = False
-    max_retry_after_ns: int = 0
+    max_retry_after_ns: int = 0  # not used by `Balancer`
     connect_timeout_ns: int = 250 * MS
-    conn_idle_ns: int = 0        # idle connections are closed after this; 0: not configured
+    conn_idle_ns: int = 0        # hosts close idle connections after this; 0: not configured
     streams_per_conn: int = 1
     max_open_requests: int = 0    # the gateway rejects requests beyond this before the module sees them
-    max_client_requests: int = 0  # open requests that the clients' connections allow; 0: not configured
+    max_client_requests: int = 0  # open requests that the clients' connections allow, set by the gateway; 0: no limit
     cpu_us_per_s: float = 0.0    # 0: not configured
     cpu_us_per_request: float = 0.0
 
@@ -170,7 +183,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The parameters of the four rules."""
+    """The parameters of the four rules.
+
+    Every request gets one final response by its deadline, at most `answer_slack_ns` late.  Hosts are chosen only from a
+    valid list: a change is followed within `drain_grace_ns`, and discovery is called within `ask_within_ns`.  A request
+    that may have run is sent again only where its `Effect` allows that.  A cold host, whose capacity grows from
+    `cold_share` to 1 in `warm_within_ns`, gets at most `fall_multiple` times its capacity in any `fall_ns`: more may
+    make it fail.
+    """
 
     answer_slack_ns: int = 5 * MS
     drain_grace_ns: int = SECOND
--- a/bridgesaddle/decide.py
+++ b/bridgesaddle/decide.py
@@ -35,9 +35,9 @@
 
 # The retry gate, as in the paper (its equations 18 to 21).
 Q_MIN = 0.2          # q_avg below which every retry is sent, in T1
-W_Q = 0.1            # weight of the queueing delay of one step in q_avg
+W_Q = 0.1            # weight of one step's delay in q_avg, which depends on time, not on the response rate
 STEP_T1 = 0.1        # length of a step in the paper: 50 ms where T1 is 0.5 s
-MIN_STEPS = 0.05     # min weight of a sample, in steps: q_avg depends on time, not on the rate of responses
+MIN_STEPS = 0.05     # min weight of a sample, in steps: samples in quick succession would hardly count
 MAX_STEPS = 10       # max weight of a sample after a long time without any, in steps
 MAX_POOL_STEPS = 1.0  # the same for a response in a pool: one slow response of few is chance, not overload
 MAX_DOUBLINGS = 6    # how often the paper's timers double
@@ -49,11 +49,11 @@
 LATENCY_WEIGHT = 0.05  # weight of a response in the mean latency of its class and in the mean deviation
 TYPICAL_WEIGHT = 0.005  # weight w of a response in the typical latency of its class, after 1 / w responses
 OVERLOAD_WEIGHT_FACTOR = 0.1  # reduces that weight while the pool is overloaded
-OVERLOAD_DELAY_SHARE = 0.5  # share of TARGET_DELAY_T1 above which a pool counts as overloaded there
+OVERLOAD_DELAY_SHARE = 0.5  # share of TARGET_DELAY_T1 above which that weight is reduced
 
 # Placement.
-MAX_DRAWS = 6        # pairs drawn to find a server that a first attempt should not avoid
-MAX_SCANNED_SERVERS = 8  # other servers of the zone that a gated retry considers: limits the cost of a retry
+MAX_DRAWS = 6        # max pairs drawn for a first attempt, to find one not ejected and with none in flight
+MAX_SCANNED_SERVERS = 8  # other candidates that a gated retry considers: limits the cost of a retry
 EJECT_Q_AVG_T1 = 0.6  # q_avg at which p is 0.5: first attempts avoid the server
 RATIO_WEIGHT = 0.1   # weight of a response in a server's latency relative to its class
 MAX_RATIO = 8.0      # max value of one response in that mean, as a multiple of the mean latency of its class
@@ -64,10 +64,10 @@
 SPILL_RANGE_T1 = 0.2  # further difference at which all requests spill
 MAX_POOL_DELAY_T1 = 1.0  # max delay that one response adds to a pool
 
-INITIAL_LIMIT = 1.0  # requests in flight for each server at the start, over all gateways
+INITIAL_LIMIT = 1.0  # initial limit of each pool, in requests per server of the gateway's fair share
 MIN_LIMIT = 0.1      # min limit of a pool: a few requests still show that an overload is over
 MIN_LIMIT_BY_DELAY = 0.5  # min limit by delay alone, for each server of the gateway's fair share
-LIMIT_STEP = 0.05    # growth of a pool's limit in the time that its requests take, while delay is low
+LIMIT_STEP = 0.05    # max growth of a pool's limit per response, in requests: this share of it per round trip
 MAX_LIMIT_FALL_STEPS = 8.0  # max fall of the limit at once, in multiples of LIMIT_STEP
 TARGET_DELAY_T1 = 0.14  # pool delay at which the limit is stable: below the lower threshold of the gate
 MIN_LIMIT_USE = 0.75  # share of the limit that must be in use for the limit to grow
@@ -85,21 +85,21 @@
 
 # Health.
 EVIDENCE_HOLD_T1 = 1.0  # time before q_avg decays; doubles with each consecutive failure
-MAX_HOLD_DOUBLINGS = 4  # limits that time: a server that has recovered is used again within a few T1
+MAX_HOLD_DOUBLINGS = 4  # limits that time to 16 T1, so that a server that has recovered is used again
 DECAY_TIME_T1 = 2.0  # time constant of the decay of q_avg without samples
 FAILURE_WEIGHT = 0.2  # weight of an outcome in a server's failure share
 MAX_FAILURE_SHARE = 0.15  # failure share above which first attempts avoid a server: one recent failure
 ERROR_DELAY_T1 = 2.0  # delay that an error counts as: fast errors must outweigh fast responses between them
 
 # Cold servers.
-COLD_BUDGET_SHARE = 0.5  # share of the fall budget that is used: clients and zones are uneven
+COLD_BUDGET_SHARE = 0.5  # share of a cold server's budget that is used: clients and zones are uneven
 SERVED_RATE_TIME_S = 2.0  # time constant of the rate of responses
 WARM_COUNT_VALID_NS = SECOND // 10  # how long a count of warm servers is used
 
 # Discovery: shares of the setting ask_within_ns.
 FIRST_CALL_JITTER = 0.25  # the first call is made at a random time within this, so that gateways do not queue
-MAX_BACKOFF = 0.2    # max backoff delay: a change takes effect after a share of 0.6
-FIRST_BACKOFF = 0.1  # first backoff delay
+MAX_BACKOFF = 0.2    # max backoff delay, before jitter of 50 %: a change takes effect after a share of 0.6
+FIRST_BACKOFF = 0.1  # first backoff delay, before jitter
 
 
 class _Estimate:
@@ -171,7 +171,7 @@
         self.late_worth = late_worth
         self.missed_share = 0.0   # share of requests that miss their aim, smoothed
         self.request_count = 0
-        self.mean = 0.0           # latency: mean, mean deviation and typical value
+        self.mean = 0.0           # latency per unit of the hint: mean, mean deviation and typical value
         self.deviation = 0.0
         self.typical = 0.0
         self.samples = 1
@@ -235,7 +235,7 @@
         self.deadline = arrived_at + (ttl if self.cls.late_worth or self.cls.stream else min(ttl, self.aim))
 
     def expected_latency(self, deviations: float) -> float:
-        """Mean latency of the class plus a multiple of its mean deviation; 0 before the first response."""
+        """Mean latency with this hint plus a multiple of the deviation, ns; 0 before the first response."""
         return (self.cls.mean + deviations * self.cls.deviation) * (self.hint or 1)
 
 
@@ -276,7 +276,7 @@
         self._watching = False
         self._list_valid = True   # hosts may be chosen from the list
         self._discovery_backoff = 0.0
-        self._served_rate = 0.0   # responses per second for each warm server, smoothed
+        self._served_rate = 0.0   # this gateway's responses per second and warm server, smoothed
         self._served_rate_at = 0
         self._fair_share = 1.0    # servers for each gateway
         self._typical_latency = 0.0   # of all classes, smoothed
@@ -353,7 +353,7 @@
             self._discovery_backoff = 0.0
 
     def on_lease(self, now_ns: int, valid: bool) -> None:
-        """Whether hosts may be chosen from the list; while they may not, new requests wait unsent."""
+        """Whether hosts may be chosen from the list; else requests wait as for capacity, or are refused."""
         now = self._advance_clock(now_ns)
         self._list_valid = valid
         self._send_waiting(now)
@@ -373,7 +373,7 @@
             server.cold_at, server.cold_credit = now, self._random()
 
     def _rebuild_lists(self) -> None:
-        """Rebuild the lists that placement draws from: at updates of the list, never at a request."""
+        """Rebuild the lists that placement draws from: at new lists and settings, never at a request."""
         for pool in self._ready:
             pool.clear()
         self._remote.clear()
@@ -392,8 +392,8 @@
         fair = self._fair_share = (len(near) + len(self._remote)) / self._settings.replicas
         for side, servers in ((self._near, near), (self._far, self._remote)):
             side.servers = self._subset(servers, fair)
-            # Less than one: hundreds of gateways with one request each would overload a small fleet at their
-            # start.  Not set by an empty list, after which the limit would stay at its minimum.
+            # A limit starts at the share, or below one at twice it, up to one: hundreds of gateways with one
+            # request each would overload a small fleet.  Not set by an empty list: it would stay minimal.
             if servers and not side.limit:
                 side.limit = max(MIN_LIMIT, INITIAL_LIMIT * max(fair, min(2 * fair, 1.0)))
 
@@ -526,8 +526,8 @@
         self._requests[rid] = request
         request.cls.request_count += 1
         self._send_waiting(now)
-        self._set_timer(request, request.deadline - now - self._settings.tick_ns)   # rule 1
-        too_late = self._cannot_meet_deadline(request, now)
+        self._set_timer(request, request.deadline - now - self._settings.tick_ns)   # final response
+        too_late = self._sheds(request, now)
         # A new request does not overtake those that wait.
         server = None if too_late or self._waiting_count else self._choose_server(request, now)
         if too_late or (server is None and request.over_allowance):
@@ -538,7 +538,7 @@
             self._send(request, server, now)
 
     def _choose_server(self, request: _Request, now: int) -> _Server | None:
-        """The server of a first attempt: the better of two random ready servers of the zone."""
+        """The server of a first attempt, of the near pool or else the far pool; far first while it spills."""
         if not self._list_valid:
             return None
         near, far = self._near, self._far
@@ -547,7 +547,7 @@
             if request.over_allowance and self._random() >= self._excess_p(pool, now):
                 continue
             if pool.servers and self._has_capacity(pool):
-                server = self._choose_of_two(request, pool.servers, now, MAX_DRAWS)
+                server = self._best_of_pairs(request, pool.servers, now, MAX_DRAWS)
                 # Nothing is sent to a failing server: full or silent servers would never recover while the
                 # gateways whose subset has no others keep sending to them.  After a fault of all servers this
                 # can cost time: q_avg decays later with each consecutive failure.
@@ -555,8 +555,8 @@
                     return server
         return None
 
-    def _choose_of_two(self, request: _Request, pool: list[_Server], now: int, draws: int) -> _Server | None:
-        """The better of two random servers; another pair is drawn while the better one should be avoided."""
+    def _best_of_pairs(self, request: _Request, pool: list[_Server], now: int, draws: int) -> _Server | None:
+        """The best server of up to `draws` random pairs; stops at one not ejected and with none in flight."""
         best: _Server | None = None
         best_key: tuple[bool, float] | None = None
         size = len(pool)
@@ -603,7 +603,7 @@
     def _retry(self, request: _Request, now: int) -> None:
         """Send a retry to a server whose gate lets it pass, or wait for another retry interval."""
         pool = self._retry_candidates(request)
-        first = self._choose_of_two(request, pool, now, 1)
+        first = self._best_of_pairs(request, pool, now, 1)
         if first is not None and not self._gate_closed(request, first, now):
             self._send(request, first, now)
             return
@@ -617,7 +617,7 @@
                 self._send(request, server, now)
                 return
         if self._remote and self._spills(now):
-            server_far = self._choose_of_two(request, self._far.servers, now, 1)
+            server_far = self._best_of_pairs(request, self._far.servers, now, 1)
             if server_far is not None and not self._gate_closed(request, server_far, now):
                 self._send(request, server_far, now)
                 return
@@ -660,7 +660,7 @@
     # ---- 5. Rules: every attempt, refusal and failure passes through these methods -------------------
 
     def _may_send(self, request: _Request, server: _Server, now: int) -> bool:
-        """Whether the four rules allow an attempt of this request at this server now."""
+        """Whether the rules (see `Rules`) allow an attempt of this request at this server now."""
         if request.done or request.streaming or server.state is not HostState.READY or not self._list_valid:
             return False
         if (request.attempts >= request.max_attempts or now >= request.deadline
@@ -867,21 +867,21 @@
                     self._actions.cancel(rid, number)
 
     def on_timer(self, now_ns: int, token: int) -> None:
-        """A timer has expired: a call to discovery, a retry, or the last moment before a deadline."""
+        """A timer has expired: discovery call, attempt overdue, retry, end of waiting, or deadline."""
         now = self._advance_clock(now_ns)
         if token not in self._timers:
             return
-        request = self._timers.pop(token)
-        if request is None:
+        target = self._timers.pop(token)
+        if target is None:
             self._call_discovery()
-        elif isinstance(request, _Attempt):
-            self._on_overdue(request, now)
-        elif request.done or request.streaming:
+        elif isinstance(target, _Attempt):
+            self._on_overdue(target, now)
+        elif target.done or target.streaming:
             return
-        elif now >= request.deadline - self._settings.tick_ns or (request.waiting and now >= request.due):
-            self._end(request, now)
-        elif not request.in_flight and not request.waiting and now >= request.due:
-            self._retry(request, now)
+        elif now >= target.deadline - self._settings.tick_ns or (target.waiting and now >= target.due):
+            self._end(target, now)
+        elif not target.in_flight and not target.waiting and now >= target.due:
+            self._retry(target, now)
 
     def on_probe_result(self, now_ns: int, host: HostId, outcome: Outcome, spent_ns: int,
                         load: Sequence[float]) -> None:
@@ -931,9 +931,9 @@
     def _has_capacity(self, pool: _Pool) -> bool:
         """Whether the limit leaves capacity; the fraction of a limit is a probability.
 
-        The number in flight varies by its square root (below one, the draw is enough).  Without this,
-        gateways with limits of one or two would let requests wait at random while the fleet has capacity, as
-        others have less than their share.
+        The number in flight varies by its square root (below one, the square is allowed for, which is less).
+        Without this, gateways with limits of one or two would let requests wait at random while the fleet has
+        capacity, as others have less than their share.
         """
         allowance = self._chance_factor * min(pool.limit * pool.limit, sqrt(pool.limit))
         return pool.inflight + self._random() < pool.limit + allowance
@@ -983,7 +983,7 @@
             if not request.waiting:
                 heappop(queue)
                 continue
-            too_late = self._cannot_meet_deadline(request, now)
+            too_late = self._sheds(request, now)
             server = None if too_late else self._choose_server(request, now)
             if server is None and not too_late:
                 return
@@ -995,7 +995,7 @@
                 self._send(request, server, now)
 
     def _subset(self, servers: list[_Server], fair: float) -> list[_Server]:
-        """Subsetting: a gateway with few requests uses some of the servers: its own counts then say more."""
+        """Subsetting: a gateway uses a few fair shares of the servers: its own counts then say more."""
         size = self._subset_size(fair)
         if size >= len(servers):
             return list(servers)
@@ -1020,9 +1020,9 @@
     def _on_overdue(self, attempt: _Attempt, now: int) -> None:
         """An attempt without a timeout before the deadline has taken longer than T1: count it as a failure.
 
-        Without this, a silent server keeps getting requests that may not be retried.  If the server has
-        failed before, the attempt no longer counts as load: otherwise a few silent servers would use up a
-        small limit.
+        Without this, a silent server keeps getting requests that may not be retried.  The attempt no longer
+        counts as load, as this failure alone puts the share above MAX_FAILURE_SHARE: otherwise a few silent
+        servers would use up a small limit.
         """
         if attempt.number in attempt.request.in_flight and not attempt.request.streaming:
             t1 = attempt.request.t1
@@ -1032,14 +1032,14 @@
                 self._set_counted(attempt, False)
                 self._send_waiting(now)
 
-    def _cannot_meet_deadline(self, request: _Request, now: int) -> bool:
-        """Load shedding: the time left is less than even a fast response to this request takes.
+    def _sheds(self, request: _Request, now: int) -> bool:
+        """Load shedding: the time left to the aim or deadline is less than even a fast response takes.
 
         Requests that arrive with little time left, or have waited, would cost work for nothing and delay
         others; the same goes for a class that a slow fleet cannot serve in time.  The limit is one mean
-        deviation below the mean, which spares classes with long tails.  As latency is only known from what
-        is sent, one request is sent every SHED_PROBE_AIMS: otherwise a recovery after overload would not be
-        noticed.
+        deviation below the mean, which spares classes with long tails.  Such a request is shed with the
+        probability `_shedding_level`.  As latency is only known from what is sent, one request is sent every
+        SHED_PROBE_AIMS: otherwise a recovery after overload would not be noticed.
         """
         cls = request.cls
         if now - cls.sent_at > SHED_PROBE_AIMS * cls.aim or self._random() >= self._shedding_level():
@@ -1067,12 +1067,12 @@
                    1.0 - self._q_avg(pool, POOL_T1_NS, now) / (TARGET_DELAY_T1 * POOL_T1_NS))
 
     def _shedding_level(self) -> float:
-        """Share of the least valuable work that is shed: 0 while requests are in time, 1 when many miss."""
+        """Probability of shedding late requests and excess: 0 while requests are in time, 1 if many miss."""
         return min(max(
             (self._missed_share - SHED_START_SHARE) / (SHED_ALL_SHARE - SHED_START_SHARE), 0.0), 1.0)
 
     def _spills(self, now: int) -> bool:
-        """Spill to other zones: the zone's q_avg closes its gate, that of the other zones leaves theirs open.
+        """Spill to other zones: near q_avg exceeds far by SPILL_START_T1 and a random part of the range.
 
         The condition "every candidate above T1" would come too late: with few responses from each server, no
         single q_avg gets there before the zone has long been full.
@@ -1102,10 +1102,10 @@
         return self._random() < self._warmth(server, now)
 
     def _has_cold_credit(self, server: _Server, now: int) -> bool:
-        """Rule 4: the credit for a cold server grows at this gateway's part of the fall budget.
+        """The credit for a cold server grows at this gateway's part of the server's budget (see `Rules`).
 
         The initial credit is random, so that many gateways do not each send one request at once; a part below
-        one request per window is then met on average.
+        one request per `fall_ns` is then met on average.
         """
         rules, replicas = self._settings.rules, self._settings.replicas
         gateways = max(1.0, self._gateways_per_server[server.zone])
@@ -1120,7 +1120,7 @@
         return server.cold_credit >= 1.0
 
     def _warm_equivalents(self, now: int) -> float:
-        """Capacity of the ready servers in warm servers; computed a few times per second."""
+        """Capacity of the ready servers in warm servers; kept for WARM_COUNT_VALID_NS or until a new list."""
         if now >= self._warm_count_until:
             self._warm_count_until = now + WARM_COUNT_VALID_NS
             self._warm_count = max(1.0, sum(self._warmth(server, now) if server.cold_until > now else 1.0
--- a/bridgesaddle/drill.py
+++ b/bridgesaddle/drill.py
@@ -25,7 +25,7 @@
         self.balancer = balancer
 
 
-class InstanceHost:
+class Instances:
     """The instances of one process.  They share only the reply that is being written."""
 
     def __init__(self, make: DecisionsFactory = Balancer) -> None:
@@ -123,7 +123,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO, make: DecisionsFactory = Balancer) -> None:
     """Reply to batches until the input ends."""
-    instances = InstanceHost(make)
+    instances = Instances(make)
     while head := source.read(BATCH_HEAD.size):
         if len(head) != BATCH_HEAD.size:
             raise WireError("the input ends inside a header")
--- a/bridgesaddle/lease.py
+++ b/bridgesaddle/lease.py
@@ -4,13 +4,17 @@
 gateway having been notified.  Only two proofs extend the lease:
 
 * `UpToDate`: the gateway had received everything that discovery had at a given time.  Whatever discovery learns later
-  takes effect `PROPAGATION_BOUND_NS` after that time.
+  and the gateway does not receive takes effect no earlier than `PROPAGATION_BOUND_NS` after that time, or where lists
+  are pushed, when the watch ends, if that is earlier.
 * `Unreachable`: discovery could not be reached at a given time.  What it has takes effect `PROPAGATION_BOUND_NS` after
   it can be reached again, or at once where lists are pushed.
 
-Every other event can only shorten the lease: a start, the end of a watch, a call that connects and gets no response,
-SIGHUP, an update that cannot be parsed.  Part of the drain grace is reserved for event-loop stalls between reading the
-clock and a write.
+A change that takes effect has to be followed within the drain grace.  Part of the grace is reserved for event-loop
+stalls between reading the clock and a write.
+
+These events can only shorten the lease: a start, the end of a watch, a call that connects and gets no response, SIGHUP,
+an update that cannot be parsed.  A received list (`on_list`, `on_watch_opened`), which comes with a proof, removes such
+limits, and new settings may change the grace.
 """
 
 from __future__ import annotations
@@ -20,10 +24,10 @@
 from .api import MS, SECOND
 
 PROPAGATION_BOUND_NS = 6 * SECOND
-"""A change is effective at the latest this long after discovery had it and could be reached, whatever happened to calls
-in between.  A change that a silent watch misses is effective this long after the watch became silent."""
+"""A change that was not received takes effect this long after discovery had it and could be reached, and not earlier,
+whatever happened to calls in between; one that a silent watch misses, this long after the watch became silent."""
 RELOAD_PROPAGATION_BOUND_NS = 4 * SECOND
-"""Everything that discovery has is effective this long after SIGHUP, whatever a watch has delivered before then."""
+"""Everything that discovery has takes effect this long after SIGHUP, whatever a watch has delivered before then."""
 MAX_UPDATE_DELAY_NS = 3 * SECOND
 """The longest time that an update waits at an overloaded discovery service; then the watch ends."""
 MAX_STALL_NS = 150 * MS
@@ -57,10 +61,10 @@
 
 @dataclass(slots=True)
 class Cutoff:
-    """The time from which on everything that discovery has is effective for a gateway without an open watch.
+    """The time from which on everything that discovery has is effective, whether or not the gateway received it.
 
     `effective_ns` is the earliest time at which the cutoff may lie and `latest_ns` the latest; they differ where the
-    time is not known exactly.  A proof that covers `latest_ns` or a later time removes the cutoff.
+    time is not known exactly.  A proof of `latest_ns` or a later time removes the cutoff.
     """
 
     effective_ns: int
@@ -91,7 +95,7 @@
         self._watch_lost_ns = DISTANT_PAST_NS         # when the last such watch ended
         self._unparsable_ns = DISTANT_FUTURE_NS       # the first unparsable update since the last list
         self._reloads: list[Cutoff] = []   # cutoffs set by SIGHUP, which apply also while a watch is open
-        self._cutoffs: list[Cutoff] = []
+        self._cutoffs: list[Cutoff] = []   # apply only without an open watch; an accepted `Unreachable` replaces them
 
     def on_settings(self, pushed: bool, grace_ns: int) -> None:
         """Apply new settings for pushing and the drain grace; what is effective under the old ones stays effective."""
@@ -113,7 +117,7 @@
                     *cutoffs])
 
     def _proven_ns(self) -> int:
-        """The same time by the last proofs alone."""
+        """The same time by the last proofs and, where lists are pushed, the end of the last watch, without cutoffs."""
         if not self._pushed:
             return max(self._last_up_to_date_ns, self._last_unreachable_ns) + PROPAGATION_BOUND_NS
         # A watch that becomes silent right after its last update misses changes from then on.
@@ -129,7 +133,7 @@
     # ---- Proofs ------------------------------------------------------------------------------------------
 
     def extend(self, proof: Proof) -> None:
-        """Apply a proof.  This is the only way to extend the lease."""
+        """Apply a proof.  All other events only set, move or remove limits on the time that the proofs give."""
         if isinstance(proof, UpToDate):
             self._unreachable = False
             self._last_up_to_date_ns = max(self._last_up_to_date_ns, proof.at_ns)
@@ -163,7 +167,7 @@
         # The time from the start to the first call is allowed for, up to the grace (`_postpone` adds it in push mode).
         return self._started_ns + (0 if self._pushed else self._grace_ns)
 
-    # ---- Events that can only shorten the lease ------------------------------------------------------------
+    # ---- Other events ----------------------------------------------------------------------------------------
 
     def on_watch_opened(self) -> None:
         """A watch has delivered its list and is open from now on."""
@@ -201,7 +205,7 @@
         self._unparsable_ns = DISTANT_FUTURE_NS
 
     def on_unparsable_update(self, at_ns: int) -> None:
-        """An update was written at this time that is truncated or malformed: another list is needed."""
+        """An update of which bytes were received at this time is malformed or incomplete: another list is needed."""
         self._unparsable_ns = min(self._unparsable_ns, at_ns)
 
     def on_reload(self, from_ns: int, by_ns: int) -> None:
--- a/bridgesaddle/wire.py
+++ b/bridgesaddle/wire.py
@@ -29,7 +29,7 @@
 )
 
 MAX_FRAME_BYTES = 1 << 30
-"""Batches are megabytes long; a longer frame is not a batch."""
+"""The longest frame, 1 GiB: batches are megabytes long, so that a longer one is an error."""
 ALL_PEERS = 0xFFFF
 
 BATCH_HEAD = struct.Struct(">IIQ")
@@ -202,6 +202,7 @@
         self._add = reply.add
 
     def send(self, rid: int, host: HostId, timeout_ns: int, write_within_ns: int = 0) -> None:
+        # The protocol has no write limit.
         self._add(_OUT_SEND.pack(1, self._instance, rid, host, timeout_ns))
 
     def fail(self, rid: int) -> None:
