--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -54,8 +54,9 @@
 class Discovery:
     """Keeps a watch open once it was requested, and passes on the lists that it receives.
 
-    The decision module chooses when to request the first watch; in push mode it requests none.  From then on a watch
-    that ends is reopened here, so that only this class determines how soon a change is received.
+    `start` opens the first watch, unless the decision module requests it earlier; in push mode the module requests
+    none.  From then on a watch that ends is reopened here, so that only this class determines how soon a change is
+    received.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timers: Timers, address: tuple[str, int],
@@ -66,8 +67,8 @@
         self.lease = ListLease(started_ns or now_ns(), pushed, grace_ns)
         self._reachability = Reachability()
         self.gateway_count = 1   # gateways that may start at the same time
-        self.on_lease_changed: Callable[[], None] = lambda: None   # called whenever the lease may be valid again
-        self.read_delay_ns: Callable[[int], int] = lambda now: 0   # how long data that is read now may have waited
+        self.on_lease_changed: Callable[[], None] = lambda: None   # called whenever the lease may have changed
+        self.read_delay_ns: Callable[[int], int] = lambda now: 0   # see StallDetector
         self._timers = timers
         self._address = address
         self._parser = parser
@@ -79,7 +80,7 @@
         self._last_list_at = 0       # when the last list was accepted; 0: never
         self._backoff_until = 0      # 0: no backoff before the next watch
         self._reloaded_at = 0        # the last SIGHUP
-        self._hold_until = 0         # after an event-loop stall in push mode, in which a change may have been missed
+        self._hold_until = 0         # requests wait after a stall in push mode, as the watch may have ended
         self._watch: DiscoveryCall | None = None
         self._backup_watch: DiscoveryCall | None = None   # concurrent with a watch that receives no response
         self._list_call: DiscoveryCall | None = None
@@ -141,7 +142,10 @@
                 call.read_pending()
 
     def on_stall(self, stall_ns: int) -> None:
-        """Handles an event-loop stall: in push mode, a watch that ended during it has missed changes."""
+        """Handles an event-loop stall: in push mode, a watch that ended during it has missed changes.
+
+        After a stall of more than MAX_UPDATE_DELAY_NS a backup watch is opened in either mode.
+        """
         if self._pushed and stall_ns > self._grace_ns // 2:
             self._hold_until = now_ns() + POST_STALL_HOLD_NS
             self._timers.at(self._hold_until, self._notify_lease_changed, None)
@@ -168,7 +172,7 @@
         self.on_lease_changed()
 
     def on_watch_data(self, call: DiscoveryCall) -> None:
-        """Extends the lease, as the watch is not silent; the data may be as old as the start of a stall."""
+        """Extends the lease, as the watch is not silent; the data counts from `read_delay_ns` before now."""
         now = now_ns()
         self._extend_lease(self._proof_by_update(now - self.read_delay_ns(now)))
         if call is self._watch and self._backup_watch is not None and not self._backup_watch.first_list_ns \
@@ -214,7 +218,11 @@
     # ---- Calls -------------------------------------------------------------------------------------------
 
     def watch(self, active: bool) -> None:
-        """Opens or closes the watch.  There is only one at a time, as a second one would only repeat its updates."""
+        """Opens or closes the watch.
+
+        Opens at most one, as a second one would only repeat its updates; only `_open_backup_watch` and
+        `_back_up_if_unanswered` open a backup watch, where the first may be lost or late.
+        """
         self._watch_wanted = active and not self._closed   # the timer of the start may still fire after `close`
         if self._watch_wanted and self._watch is None and not self._backoff_until:
             self._watch = self._start_call(True)
@@ -241,7 +249,7 @@
                 self.watch(True)
 
     def on_reload(self) -> None:
-        """Handles SIGHUP, which may have arrived as early as the start of a stall: the reload bound counts from it.
+        """Handles SIGHUP, which may have arrived in a stall: the reload bound counts from `read_delay_ns` before now.
 
         The bound does not depend on the file.  `reconfigure` is separate, as it is called only once the file has been
         read, and never if the file is rejected.
@@ -308,7 +316,7 @@
             self._open_backup_watch(self._watch)
 
     def _open_backup_watch(self, watch: DiscoveryCall) -> None:
-        """Opens another watch concurrently with a silent one; the first to receive data is kept."""
+        """Opens another watch concurrently with the current one, which may be silent; see `_choose_watch`."""
         event(log, "renew_beside", silent_ns=now_ns() - watch.received_at)
         self._backup_watch = self._start_call(True)
 
@@ -395,7 +403,7 @@
             self._open_backup_watch(call)
 
     def replace_silent_watch(self, call: DiscoveryCall) -> None:
-        """Reopens a watch that has fallen silent after its list, after a jitter and whoever requested it.
+        """Reopens a watch that has fallen silent after its list, after a jitter, without notifying the decision module.
 
         Changes that it misses take effect 6 s after it fell silent, which leaves no time for the backoff of a failed
         call.
@@ -498,7 +506,10 @@
         self.end_call(call, "malformed update")
 
     def on_incomplete(self, call: DiscoveryCall) -> None:
-        """Schedules a check of an incomplete update: only silence shows that it was truncated."""
+        """Bounds the lease until a list arrives, and schedules a check: silence shows that the update was truncated.
+
+        `UpdateSplitter` recognizes a truncated update by the data that follows.
+        """
         self.lease.on_unparsable_update(call.received_at)
         timeout_ns = truncation_timeout(self._pushed, self._grace_ns, self._truncations)
         self._timers.after(timeout_ns, self._check_truncated, (call, call.received_at))
@@ -576,13 +587,17 @@
         """Returns the backoff delay after a call that has ended, ns.
 
         The delay doubles with each failed call, as each adds load to a service that may be overloaded, up to what is
-        left of the propagation bound.  It is shorter in three cases:
+        left of the propagation bound.  It is shorter in these cases:
 
-        * The service has sent a list before.  It ends a watch rather than send a change late, and that change takes
-          effect: the delay is part of the time in which the change has to be followed.
+        * There is none while requests wait for a list after a stall, while failures do not yet show that the service is
+          down, and in push mode after several connection attempts of which none has succeeded.
+        * The watch sent its first list more than 1 s ago.  The service ends a watch rather than send a change late, and
+          that change takes effect: the delay is part of the time in which the change has to be followed.
         * The service is down, in push mode.  Its changes take effect whether or not a watch is open, and calls add no
           load to a service that is down; an overloaded one lets calls wait before it rejects them.
-        * The response was corrupted in transit: the service is able to respond.
+        * The response was unusable, possibly corrupted in transit: the service is able to respond.  This applies to
+          `MAX_SHORT_BACKOFFS` responses in a row.
+        * The call has waited in vain for at least as long as the delay: only OVERLOAD_BACKOFF_NS remains.
         """
         now = now_ns()
         if now < self._hold_until or (self._reachability.may_be_down and not call.local_error):
--- a/gateway/discovery_calls.py
+++ b/gateway/discovery_calls.py
@@ -88,8 +88,8 @@
         self.connected_at = 0
         self.last_connect_at = 0    # start of the newest connection attempt
         self.renew_at = 0    # when a backup watch is opened if this one stays silent
-        self.was_disconnected = False   # the connection was lost, not closed by the gateway
-        self.received_at = 0
+        self.was_disconnected = False   # the connection has ended; not used after `close`, which ends it too
+        self.received_at = 0   # when data was last received, from the head of a 200 response on; 0: never
         self.first_list_ns = 0     # when its first list was accepted
 
     def attach(self, transport: asyncio.Transport) -> bool:
--- a/gateway/discovery_timeouts.py
+++ b/gateway/discovery_timeouts.py
@@ -40,12 +40,12 @@
 """How late a heartbeat may be."""
 QUEUE_ALLOWANCE_NS = PROPAGATION_BOUND_NS // 2
 """Part of the propagation bound that a backoff delay leaves to the next call for waiting in the queue of a discovery
-service that serves all gateways.  After the longest wait without a response 2 s are left."""
+service that serves all gateways.  After the longest wait without a response 2.5 s are left."""
 RESPONSE_TIMEOUT_NS = QUEUE_ALLOWANCE_NS + SECOND // 2
-"""Longest wait for the first line of a response: a response to a call that has queued for the full allowance still
-needs time to arrive."""
+"""Longest time from the start of a call, connecting included, until the head of its response has arrived: a response to
+a call that has queued for the full allowance still needs time to arrive."""
 WATCH_RENEWAL_NS = HEARTBEAT_INTERVAL_NS + HEARTBEAT_TOLERANCE_NS
-"""Silence after which a watch may be dead: a backup watch is opened, and the first of the two to receive data is kept.
+"""Silence after which a watch may be dead: a backup watch is opened, which replaces it unless it receives data first.
 """
 WATCH_SILENCE_TIMEOUT_NS = 3 * SECOND
 """Silence after which a watch counts as dead: one missed heartbeat and half of the next interval."""
@@ -53,7 +53,8 @@
 """Longest wait for a connection, over all connection attempts of a call."""
 CONNECT_RETRY_NS = 250 * MS
 """Delay after which a pending connection attempt is hedged by another one: its SYN may be lost, and the kernel
-retransmits only after 1 s and after 3 s.  Doubles with each attempt, except in push mode."""
+retransmits only after 1 s and after 3 s.  Doubles with each attempt, at most three times; in push mode it
+does not double and is at most a quarter of the drain grace."""
 MIN_CONNECT_RETRY_NS = 50 * MS
 MAX_CONCURRENT_CONNECTS = 6
 """Connection attempts of one call that may be pending at once: the first one and the newest."""
@@ -64,8 +65,9 @@
 POST_STALL_HOLD_NS = 250 * MS
 """How long requests wait for a list after an event-loop stall in which the watch may have ended, in push mode."""
 TRUNCATION_TIMEOUT_NS = 150 * MS
-"""Silence within an update after which the update counts as truncated.  Doubles with each truncated update in a row, so
-that a service that is slow with each list is not called for it endlessly."""
+"""Silence within an update after which the update counts as truncated.  Doubles with each truncated update in a row, at
+most `MAX_DOUBLINGS` times, so that a service that is slow with each list is not called for it endlessly.  In push mode
+it is at most a fifth of the drain grace and doubles only after `MAX_SHORT_BACKOFFS` truncated updates in a row."""
 MAX_DOUBLINGS = 6
 INITIAL_BACKOFF_NS = 250 * MS
 RECONNECT_JITTER_NS = 250 * MS
@@ -80,7 +82,8 @@
 OVERLOAD_BACKOFF_NS = 20 * MS
 """Backoff delay after a call that was rejected after a wait: its place in the queue is lost, and the lease runs on."""
 MAX_SHORT_BACKOFFS = 3
-"""Unusable responses in a row that are followed by a short backoff only: they may have been corrupted in transit."""
+"""Unusable responses in a row that are followed by a short backoff only: they may have been corrupted in transit.  In
+push mode also the truncated updates in a row that do not double `TRUNCATION_TIMEOUT_NS`."""
 
 
 def connect_retry_delay(pushed: bool, grace_ns: int, attempts: int) -> int:
--- a/gateway/failover.py
+++ b/gateway/failover.py
@@ -2,7 +2,8 @@
 
 Loaded only if the configuration names several addresses or a folder.  When a service fails, the next one is called
 after a short jitter; the decision module is notified only once all have failed in turn.  A list is rejected if it is
-older than the current one or would leave no host, as neither can be intended.
+older than the current one, would leave no host or, as a full list, has mostly malformed entries: none of these can be
+intended.
 """
 
 from __future__ import annotations
@@ -221,7 +222,7 @@
             self._timers.after(delay_ns, lambda _: self.fetch(), None)
 
     def reconfigure(self, address: Address, parser: UpdateParser, pushed: bool, others: Sequence[Address] = ()) -> None:
-        """Switches to the services of new settings; no call ends if they are the same ones."""
+        """Switches to the services of new settings; no call ends if neither they nor the names change."""
         addresses = [address, *others]
         same = set(addresses) == set(self._addresses)
         self._addresses = addresses
--- a/gateway/reachability.py
+++ b/gateway/reachability.py
@@ -7,14 +7,18 @@
 from __future__ import annotations
 
 FAILURES_UNTIL_DOWN = 2
-"""Calls in a row that could not reach discovery before it counts as down: a single one may be a transient fault."""
+"""Failures in a row after which discovery counts as down: a single one may be a transient fault.
+
+A failure is a connection attempt that failed or is overdue, or a call that was reset at once; one call may have
+several.
+"""
 
 
 Address = tuple[str, int]
 
 
 class Reachability:
-    """Whether discovery is down, judged by the number of calls in a row that could not reach it."""
+    """Whether discovery is down, judged by the number of failures to reach it in a row."""
 
     def __init__(self, services: int = 1) -> None:
         """`services`: number of discovery services, all of which have to be unreachable."""
@@ -25,7 +29,7 @@
 
     @property
     def may_be_down(self) -> bool:
-        """Whether calls have failed to reach discovery, but too few to show that it is down."""
+        """Whether there have been failures to reach discovery, but too few to show that it is down."""
         return self._failures > 0 and not self._is_confirmed
 
     @property
@@ -33,7 +37,7 @@
         return self._failures >= FAILURES_UNTIL_DOWN and len(self._failed_addresses) >= self.services
 
     def record_failure(self, address: Address) -> bool:
-        """Records that a call could not reach the service at this address; returns whether discovery is down."""
+        """Records a failure to reach the service at this address; returns whether discovery is down."""
         self._failures += 1
         self._failed_addresses.add(address)
         self.down = self._is_confirmed
--- a/gateway/stalls.py
+++ b/gateway/stalls.py
@@ -27,14 +27,14 @@
 """Minimum time before those iterations are counted: an iteration may end without having read anything."""
 ACCEPT_BACKLOG_NS = 100 * MS
 """Time after those iterations in which the loop may still accept connections that arrived during the stall: it accepts
-one per iteration."""
+at most `listener.ACCEPTS_PER_TURN` per iteration."""
 MIN_POSSIBLE_STALL_NS = 30 * MS
 """Minimum time without any event for which a late tick indicates a possible stall."""
 MIN_STALL_NS = 100 * MS
 """Minimum time without any event for which a late tick is reported as a stall."""
 READ_DELAY_TOLERANCE_NS = 80 * MS
-"""Part of a read delay that is not deducted from a request's time left: on average a tick has passed since the
-request's bytes arrived, and the timeout sent to a host may be up to 0.15 s too long."""
+"""Part of a read delay that is not deducted from a request's time left: the delay is counted from
+the last tick, which may precede the arrival by a tick, and the timeout sent to a host may be up to 0.15 s too long."""
 POSSIBLE_DELAY_NS = 20 * MS
 """Data read within this time after a late tick may have been delayed, even if only by a part of a tick."""
 
@@ -72,7 +72,10 @@
         self._last_event_ns = now
 
     def read_delay_ns(self, now: int) -> int:
-        """Return how long bytes that are read now may have been waiting, in ns."""
+        """Return the time that bytes read now may have been waiting, less READ_DELAY_TOLERANCE_NS, in ns.
+
+        A time that is dated back by it may thus be up to READ_DELAY_TOLERANCE_NS later than the start of the stall.
+        """
         self.observe(now)
         since = self._stall_start_ns or (self._last_tick_ns if now > self._next_tick_ns + LATE_TIMER_NS else now)
         return max(0, now - since - READ_DELAY_TOLERANCE_NS)
