--- a/gateway/attempt.py
+++ b/gateway/attempt.py
@@ -51,7 +51,7 @@
         self.host = host
         self.client_left = client_left   # whether its client has left; called before it is written
         self.stall_before_ns = 0   # total time of event-loop stalls before it
-        self.begin_by = begin_by   # if its last byte is not written by then, it is stopped
+        self.begin_by = begin_by   # end of `write_within_ns`: it is stopped if its last byte is not written
         self.probe = probe
         self.receiver = receiver
         self.body = body   # set if it is streamed
--- a/gateway/body.py
+++ b/gateway/body.py
@@ -6,7 +6,8 @@
 from typing import Protocol
 
 MAX_REPLAY_BYTES = 64 * 1024
-"""Size of the start of a body that is kept so that it can be sent again.  Shorter bodies are never streamed."""
+"""Size of the start of a body that is kept so that it can be sent again.  Bodies up to this
+length are never streamed, as `upstream.MAX_BUFFERED_BODY_BYTES` is equal."""
 
 
 READ_BUFFER_BYTES = 64 * 1024
--- a/gateway/checks.py
+++ b/gateway/checks.py
@@ -39,7 +39,7 @@
         self.id = headers[b"x-request-id"]
         self.class_name = headers[b"x-priority-class"]
         self.key = _key(headers.get(b"x-route-key", b""))
-        self.hint_ns = _number(headers.get(b"x-cost", b"")) * 1000
+        self.hint_ns = _number(headers.get(b"x-cost", b"")) * 1000   # the header is in µs
         self.repeat = headers.get(b"x-retried") == b"1"
         self.write = b"write=1" in headers.get(b"x-attrs", b"").split(b",")
 
--- a/gateway/core.py
+++ b/gateway/core.py
@@ -1,4 +1,9 @@
-"""Drives the decision module: request table, clock and actions.  It takes no decisions itself.
+"""Drives the decision module: request table, clock and actions.
+
+The module decides on attempts and responses.  The core by itself only enforces limits: it refuses requests above
+`MAX_OPEN_REQUESTS` or with less than `MIN_TIME_LEFT_NS` left, and ends attempts that must not be sent.  It fails
+requests at their fallback time, when the client has half-closed and no attempt is in flight, after an exception of
+the module and at shutdown.  It passes a successful response on at once and cancels the request's other attempts.
 
 The module calls actions while it handles an event.  Actions operate on sockets immediately; events that result from
 them are queued until the current event has been handled, so that the module is never re-entered.
@@ -139,8 +144,8 @@
         self.client_half_closed = False   # it may have gone
         self.body: Body | None = None   # set if it is streamed
         self.streamed = False   # a streamed response has begun
-        self.ttl = 0
-        self.fallback_at = 0
+        self.ttl = 0   # its client's timeout when it was read, less the read delay, ns; `deadline` is a margin earlier
+        self.fallback_at = 0   # when it is failed if the module has not decided
 
 
 Event = tuple[Callable[..., None], Request | None, tuple[Any, ...]]
@@ -246,7 +251,7 @@
             log.exception("decision module raised an exception in on_lease")
 
     def on_lease(self) -> None:
-        """The lease is valid again: have the module send requests that wait for it."""
+        """The lease may have become valid again: have `_report_lease` check it, so that waiting requests are sent."""
         if not self._may_send:
             self._queue_event(lambda now: None, None)
 
@@ -273,14 +278,14 @@
     def on_request(self, exchange: Exchange, parsed: ParsedRequest) -> Request | None:
         """Accept a client's request; None if it has been refused without an attempt."""
         if len(self._requests) >= self._max_open_requests:
-            event(log, "refused", request=parsed.id, why="too many open requests")
+            event(log, "refused", request=parsed.id, why="too many are open")
             exchange.refused(0)
             return None
         now = now_ns()
         unread_ns = now - parsed.unread_since - READ_DELAY_TOLERANCE_NS if parsed.unread_since else 0
         time_left = parsed.ttl_ns - max(self._read_delay_ns(now), unread_ns)
-        if time_left < MIN_TIME_LEFT_NS:
-            event(log, "refused", request=parsed.id, why="deadline passed while the event loop was stalled")
+        if time_left < MIN_TIME_LEFT_NS:   # after a stall, or if the client's timeout is as short as that
+            event(log, "refused", request=parsed.id, why="its time ran out while the loop was held up")
             exchange.refused(0)
             return None
         self._last_rid = rid = (self._last_rid + 1) & 0xFFFFFFFF
@@ -305,13 +310,13 @@
             self._module.on_request(now, request.rid, parsed.cls, parsed.tenant, parsed.key, time_left, parsed.hint_ns,
                                     parsed.repeat, parsed.write)
         elif request.exchange is not None:
-            event(log, "refused", request=request.request_id, why="deadline passed before a decision")
+            event(log, "refused", request=request.request_id, why="its time ran out before it was decided on")
             exchange, request.exchange = request.exchange, None
             exchange.refused(0)
             self._end_request(request)
 
     def _read_delay_ns(self, now: int) -> int:
-        """How long bytes that are read now may have waited unread, which counts against the client's timeout."""
+        """How long bytes that are read now may have waited unread, less a tolerance; counts against the timeout."""
         return self.stall_detector.read_delay_ns(now) if self.stall_detector is not None else 0
 
     def _schedule_fallback(self, request: Request, now: int) -> None:
@@ -428,11 +433,12 @@
     def _fail_request(self, request: Request) -> None:
         """Fail the request without a decision of the module, and have the module drop it.
 
-        It is not refused, since a refusal would promise that it had no effect.
+        It is not refused, since a refusal would promise that it had no effect.  The logged reason is the same in all
+        cases, also after an exception of the module.
         """
         exchange, request.exchange = request.exchange, None
         if exchange is not None:
-            event(log, "failed", request=request.request_id, why="deadline reached, client closing or process exiting")
+            event(log, "failed", request=request.request_id, why="its time is up, its client ends or the program does")
             exchange.abort() if request.streamed else exchange.failed()
             self._queue_event(self._module.on_client_disconnected, None, request.rid)
         self._end_request(request)
@@ -507,7 +513,8 @@
                   timeout_ns=expires_at - self._now)
         if self._client_may_have_left(request) or request.client_half_closed or number >= request.max_attempts \
                 or (request.body is not None and request.body.committed):
-            attempt.end(Outcome.MOOT)   # never after the response, nor for a client that may have gone
+            # Answered, the client may have gone, no attempt is left, or the start of the body has been discarded.
+            attempt.end(Outcome.MOOT)
             return
         if not self._may_send:
             attempt.end(Outcome.MOOT)   # the lease has expired, as the module knows: the list is too old
--- a/gateway/server.py
+++ b/gateway/server.py
@@ -42,7 +42,8 @@
 MIN_BODY_RATE_BYTES_PER_S = 32 * 1024
 """Minimum average rate of a body after the grace period: half the rate of a slow client."""
 SPARE_CONNECTIONS = 16
-"""Connections accepted above the limit so that their requests get a refusal instead of a close."""
+"""Connections accepted above the limit so that their requests get a refusal instead of a close; also the number of
+lingering connections that are kept open while the limit is exceeded."""
 UNREAD_POLL_INTERVAL_NS = 30 * MS
 """Interval of the check whether a client has gone while its connection is not read.
 
@@ -70,7 +71,7 @@
         self._parser: Any = httptools.HttpRequestParser(self)
         self._exchanges: deque[Exchange] = deque()
         self._error: BadRequest | None = None
-        self.discarding = False   # framing is lost or the last request has been read: further data is ignored
+        self.discarding = False   # further data is ignored: after an error, or as the last request has been read
         self._eof_read = False   # the client has shut down its sending side, and all data is read
         self.half_closed = False   # the same, whether or not all data is read
         self._paused = False
@@ -81,7 +82,7 @@
         self._data_unread_since = 0   # earliest arrival of the data that is read next
         self._had_request = False   # a complete request has been received
         self.lingering = False
-        self.over_limit = False   # above the connection limit: its request is refused without an attempt
+        self.refuses_requests = False   # without an attempt: above the connection limit, or the process is exiting
         self._write_blocked_since = 0
         self._last_unsent_bytes = 0   # size of the write buffer at the last sweep while writing was blocked
         self._streamed_exchange: Exchange | None = None   # of a request whose body is being streamed
@@ -239,7 +240,7 @@
             self._linger()
 
     def _reject(self, error: BadRequest) -> None:
-        """Framing is lost: send one error response in order, then close."""
+        """Nothing more can be read from this client: send one error response in order, then close."""
         self.discarding = True
         event(log, "client_rejected", status=error.status, why=error.why)
         exchange, self._streamed_exchange, self._streamed_body = self._streamed_exchange, None, None
@@ -465,7 +466,7 @@
         elif self._in_message and not self.discarding and self._too_slow(now):
             self._reject(BadRequest(408, "the request was too slow"))
         elif self.between_requests() and waited > self._idle_timeout() and not self.close_if_idle():
-            self.server.sweep_after(NEW_CONNECTION_GRACE_NS, self)   # bytes in transit may be no request
+            self.server.sweep_after(NEW_CONNECTION_GRACE_NS, self)   # again: its unread bytes may be no request
 
     def _too_slow(self, now: int) -> bool:
         """Whether the head exceeds its timeout or the body its minimum rate, not counting pauses of reading."""
@@ -490,13 +491,13 @@
         if transport is None or transport.is_closing() or self.lingering or not self.between_requests() \
                 or pending_events(transport):
             return False
-        event(log, "client_closed", why="idle timeout, drain or connection limit", idle_ns=now_ns() - self.state_since)
+        event(log, "client_closed", why="idle too long, drained, or to make room", idle_ns=now_ns() - self.state_since)
         self._linger()
         return True
 
     def shut_down(self) -> None:
         """The process is about to exit: close between requests; requests in transit are refused without an attempt."""
-        self.over_limit = True
+        self.refuses_requests = True
         # A new connection is about to send a request.
         if self._had_request or now_ns() - self.state_since > NEW_CONNECTION_GRACE_NS:
             self.close_if_idle()
@@ -539,14 +540,14 @@
     def add_connection(self, connection: ClientConnection) -> None:
         """Add a connection; above the limit, close one that is between requests."""
         self._connections[connection] = None
-        connection.over_limit = self._shutting_down
+        connection.refuses_requests = self._shutting_down
         if len(self._connections) - len(self._lingering) > self.max_connections:
             now = now_ns()
             for other in self._connections:   # oldest first; a new one is about to send a request
                 if other is not connection and now - other.state_since > NEW_CONNECTION_GRACE_NS \
                         and other.close_if_idle():
                     return
-            connection.over_limit = True
+            connection.refuses_requests = True
             if len(self._connections) > self.max_connections + SPARE_CONNECTIONS:
                 connection.close_now()
 
@@ -587,7 +588,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be served."""
+        """Whether clients should connect: a host has been listed once, and the gateway does not drain."""
         return self.core.has_hosts and not self.draining
 
     def handle_request(self, exchange: Exchange, method: bytes, target: bytes, headers: list[Header],
@@ -610,12 +611,12 @@
             return
         exchange.class_name = checked_request.class_name.decode()
         if exchange.connection.half_closed:
-            event(log, "failed", request=checked_request.id, why="read after the client shut down its sending side")
+            event(log, "failed", request=checked_request.id, why="read after its client had ended its sending")
             exchange.failed()   # no attempt is made for a client that may have gone
             return
-        if exchange.connection.over_limit or (streamed_body is not None and self.stream_budget.full):
+        if exchange.connection.refuses_requests or (streamed_body is not None and self.stream_budget.full):
             exchange.close = True
-            event(log, "refused", request=checked_request.id, why="connection limit or body memory limit reached")
+            event(log, "refused", request=checked_request.id, why="no room for its connection or its body")
             exchange.refused(0)   # no attempt was made
             return
         exchange.id = checked_request.id
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -27,9 +27,9 @@
 log = logging.getLogger("gateway.upstream")
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
-"""Longest body that is buffered completely; longer ones are streamed."""
+"""Longest body that is buffered completely; longer ones are streamed.  Equal to `body.MAX_REPLAY_BYTES`."""
 MAX_BODY_BYTES = 32 * 1024 * 1024
-"""Longest body of any message."""
+"""Longest request body, and largest Content-Length of a response; a response without one has no maximum."""
 UNKNOWN_LENGTH_BUFFER_NS = 100 * MS
 """How long a response of unknown length is buffered before streaming begins: it delays a long one's first bytes."""
 STREAM_STALL_TIMEOUT_NS = 10 * SECOND
@@ -39,6 +39,7 @@
 IDLE_TIMEOUT_FRACTION = 0.6
 """Fraction of the host's idle timeout after which the gateway closes a connection, well before the host does."""
 DEFAULT_IDLE_TIMEOUT_NS = 10 * SECOND
+"""The gateway closes an idle connection after this if the settings have no idle timeout of hosts."""
 REUSE_DELAY_NS = 5 * MS
 """How long a connection is not reused after a response.
 
@@ -71,7 +72,7 @@
         self.address = ("", 0)
         self.started_ns = 0
         self.ready = False
-        self.incarnation = 0
+        self.incarnation = 0   # increased when it restarts, changes its address or is removed
         self.idle: list[Connection] = []
 
 
@@ -441,7 +442,7 @@
 
 
 def _outcome(response: Response) -> Outcome:
-    """The outcome of a response by the table in PROTOCOL; any status not listed there may have run."""
+    """The outcome of a response.  A 503 or 504 with `X-Not-Processed: 1` never ran; any status not named may have."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504):
@@ -474,7 +475,7 @@
         self._idle_timeout_ns = int(idle_ns * IDLE_TIMEOUT_FRACTION) if idle_ns else DEFAULT_IDLE_TIMEOUT_NS
 
     def apply(self, is_full: bool, listed: Iterable[ListedHost]) -> None:
-        """Apply a list before anything more is sent; connections to hosts that are gone are closed."""
+        """Apply a list before anything more is sent; idle connections to hosts not ready or restarted are closed."""
         seen = set()
         for entry, address in listed:
             seen.add(entry.host)
@@ -505,7 +506,9 @@
         return len(self._hosts)
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt on the newest reusable idle connection, else on the first that becomes reusable or connects.
+        """Send an attempt on the newest reusable idle connection.
+
+        If there is none, it waits for the idle connection that becomes reusable next, else for a new one.
         """
         if attempt.begin_by < attempt.expires_at:
             self.timers.at(attempt.begin_by, self._on_write_deadline, attempt)
