--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -23,7 +23,7 @@
                 "gateway.server", "gateway.program")
 """Modules whose import takes most of the startup time, in steps of a few milliseconds."""
 PAUSE_FACTOR = 3
-"""Pause after each step, as a multiple of the CPU time that the step took."""
+"""Pause before each step, as a multiple of the CPU time used since the pause before it, or since the start."""
 
 
 def _other_may_run() -> bool:
--- a/gateway/events.py
+++ b/gateway/events.py
@@ -1,6 +1,7 @@
 """Diagnostic log lines: an event's name and its fields as `name=value`, with a limited rate per logger.
 
-All lines about a request identify it by the id that its client sent, those about a host by its id in the list.
+Events about a request with a valid id identify it by the id that its client sent, those about a host by its id in the
+list; `connect_failed` has the host's port instead.
 """
 
 from __future__ import annotations
--- a/gateway/handover.py
+++ b/gateway/handover.py
@@ -85,7 +85,7 @@
         return SERVING in self._read_other_files()
 
     def _read_other_files(self) -> list[bytes]:
-        """Return the contents of the files of other running processes."""
+        """Return the contents of the files of other running processes; remove those of processes that have ended."""
         contents: list[bytes] = []
         if self._unshared:
             return contents
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -48,16 +48,17 @@
 SHUTDOWN_MARGIN_NS = 200 * MS
 """Requests that are still open this long after SIGTERM plus the longest deadline are failed.
 
-SIGKILL may arrive from 0.7 s after that deadline on, which is limited to 3 s.
+SIGKILL may arrive 0.7 s after that deadline, where a longer deadline counts as 3 s.
 """
 CLIENT_CLOSE_TIMEOUT_NS = 300 * MS
-"""Maximum time that clients then have to read their responses and to close."""
+"""Maximum time that clients have to read their responses and to close after open requests have been failed."""
 RESERVED_DESCRIPTORS = 48
 """Descriptors reserved for everything except connections of clients and to hosts."""
 CLIENT_SHARE = 0.55
 """Share of the other descriptors that client connections may use."""
 DESCRIPTORS_PER_CLIENT_REQUEST = 3
-"""Clients' open requests use at most one in this many of all descriptors."""
+"""While two processes run, the limit of the clients' open requests in the module's settings is one in this many of this
+process's half of the descriptors."""
 DEFAULT_MEMORY_MB = 192
 """Memory limit if none is configured."""
 BASE_MEMORY_MB = 40
@@ -69,7 +70,7 @@
 connections of the two processes are clients'."""
 FIRST_LIST_WAIT_NS = 3500 * MS
 """Maximum wait for the first list in a takeover and in push mode, where what discovery has is in effect from the first
-moment: the process has to report ready within 6 s."""
+moment: the process has to report ready within 6 s, if no startup call has to be retried (transient.py)."""
 PULL_FIRST_LIST_WAIT_NS = 5 * SECOND
 """Maximum wait for the first list in pull mode: the configured list is only as recent as the last one that the previous
 process received."""
@@ -221,7 +222,7 @@
         self._fail_requests_at_ns = 0
 
     def _on_lease(self) -> None:
-        """The lease was renewed.  While discovery is down, the configured list has to be enough to start serving."""
+        """The lease may have changed.  While discovery is down, the configured list has to suffice to start serving."""
         if self.discovery.down and self.discovery.may_send(now_ns()):
             self._list_wait_over.set()
         self.core.on_lease()
@@ -351,7 +352,10 @@
             "hold_up_longest_ms": self.stall_detector.longest_ns // MS})
 
     def reload(self) -> None:
-        """Handle SIGHUP: apply new settings and discovery addresses; an invalid file changes nothing."""
+        """Handle SIGHUP: apply new settings and discovery addresses; an invalid file changes no setting.
+
+        The lease is bounded in any case: discovery may have moved.
+        """
         self.discovery.on_reload()
         self._reload(backoff_delays(MAX_CONFIG_RETRY_S))
 
@@ -380,11 +384,11 @@
                                    not settings.ask_discovery, config.other_discoveries)
 
     def stop(self) -> None:
-        """Handle SIGTERM: report not ready at once, but still serve clients that connect before they notice it."""
+        """Handle SIGTERM or SIGINT: report not ready at once, but serve clients that connect before they notice it."""
         if self._stopping_since_ns:
             return
         now = now_ns()
-        # The time until SIGKILL starts with the signal, which may have arrived at the start of an event-loop stall.
+        # The time until SIGKILL starts with the signal, which may have arrived during an event-loop stall.
         self._stopping_since_ns = now - self.stall_detector.read_delay_ns(now)
         # By the current settings: neither open requests nor SIGKILL wait for later settings.
         max_time_left_ns = max([cls.deadline_ns for cls in self._settings.classes] + [self.core.max_time_left(now)])
@@ -405,7 +409,7 @@
         self._exit_when_idle(None)
 
     def _exit_when_idle(self, _: None) -> None:
-        """Exit once no connection is open; terminates because every request has a deadline."""
+        """Exit once no connection is open, at the latest CLIENT_CLOSE_TIMEOUT_NS after open requests are failed."""
         now = now_ns()
         if now > self._fail_requests_at_ns:
             self.core.fail_all()
@@ -439,7 +443,7 @@
 
 
 def main(handover: Handover | None = None) -> int:
-    """Run the gateway; return 0 after SIGTERM, 1 if it can't listen, 2 if the configuration is invalid.
+    """Run the gateway; return 0 after SIGTERM or SIGINT, 1 if it can't listen, 2 if the configuration is invalid.
 
     `handover` is this process's file if it has one already.  If it were removed and created again, the
     other process would in between find no other process running.
--- a/gateway/stats.py
+++ b/gateway/stats.py
@@ -1,4 +1,7 @@
-"""Metrics for operators: plain counters, each incremented in one place, when the counted event has ended."""
+"""Metrics for operators: plain counters.
+
+A client's request is counted at its end, an attempt (`upstream_requests`) when its last byte has been written.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
     def __init__(self) -> None:
         self._downstream: dict[str, dict[str, int]] = {}
         self.upstream_requests = 0
-        self.sends_stopped = 0   # not sent because the host left the list just before the write
+        self.sends_stopped = 0   # attempts not sent, as the host was not ready any more, or had restarted or moved
         self.config_reloads = 0
         self.config_reload_errors = 0
 
--- a/gateway/transient.py
+++ b/gateway/transient.py
@@ -25,7 +25,8 @@
 MIN_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 0.2
 MAX_STARTUP_RETRY_S = 8.0
-"""Maximum total delay of retries at startup: the process has to be ready within 10 s."""
+"""Maximum total delay of the retries of one startup call: the process has to be ready within 10 s.  The wait for the
+first list (program.FIRST_LIST_WAIT_NS) is not part of it."""
 MAX_ADDRESS_IN_USE_S = 2.0
 """Maximum total delay of retries while an address is in use: a process that is ending may still hold it."""
 MAX_ACCEPT_FAILURES = 256
