--- a/moleworks/rig/judge.py
+++ b/moleworks/rig/judge.py
@@ -386,10 +386,10 @@
     """Return the verdict on a history file and its counts for each second."""
     decode = msgspec.json.Decoder().decode
     with open(path, "rb") as file:
-        return judged((decode(line) for line in file), hold)
+        return judge_lines((decode(line) for line in file), hold)
 
 
-def judged(lines: Iterable[dict[str, Any]],
+def judge_lines(lines: Iterable[dict[str, Any]],
            hold: dict[str, Any]) -> tuple[dict[str, Any], dict[int, Counter[str]]]:
     """The same as `judge` for lines that are already decoded."""
     checker = Judge()
--- a/moleworks/rig/linear.py
+++ b/moleworks/rig/linear.py
@@ -102,7 +102,7 @@
     end: int
 
 
-def held_twice(holdings: Sequence[Holding]) -> list[str]:
+def overlapping_holdings(holdings: Sequence[Holding]) -> list[str]:
     """Overlaps of different holders, and tokens that do not grow: an empty list if there are none."""
     told = []
     for duty in sorted({holding.duty for holding in holdings}):
@@ -115,7 +115,7 @@
     return told
 
 
-def tokens_broken(granted: Sequence[tuple[int, int]], guarded: Sequence[tuple[int, int, str]]) -> list[str]:
+def stale_token_writes(granted: Sequence[tuple[int, int]], guarded: Sequence[tuple[int, int, str]]) -> list[str]:
     """Guarded changes that were accepted though a newer token had been given before they were even called.
 
     `granted`: answered at, token; `guarded`: called at, token, whose.
--- a/moleworks/rig/places.py
+++ b/moleworks/rig/places.py
@@ -18,7 +18,7 @@
     GATEWAY_FAULTS,
     HOST_FAULTS,
     LINK_FAULTS,
-    MEDDLES,
+    TAMPERING_FAULTS,
     Experiment,
     Fault,
     Hosts,
@@ -141,7 +141,7 @@
     told = []
     if wanted is not None and not set(places.select(fault.on)) & set(wanted):
         told.append(f"on: names no {'host' if wanted is places.hosts else 'gateway'}: {fault.on}")
-    elif fault.kind in LINK_FAULTS + MEDDLES:
+    elif fault.kind in LINK_FAULTS + TAMPERING_FAULTS:
         told += [f"{key}: names nobody: {pattern}" for key, pattern in (("on", fault.on), ("to", fault.to))
                  if not places.select(pattern)]
     if fault.kind in (*SHARES, "slow", "delay", "rate") and not fault.size:
--- a/moleworks/rig/plan.py
+++ b/moleworks/rig/plan.py
@@ -17,7 +17,7 @@
 """Planned in stretches of so many seconds, so that a long run needs no more memory than a short one."""
 
 
-class Ask(NamedTuple):
+class PlannedRequest(NamedTuple):
     """One first try: when, in which zone, of which class, how much work, how long its client waits."""
 
     at_ns: int
@@ -25,7 +25,7 @@
     cls: int
     work_ns: float
     ttl_ns: int
-    leaves_ns: int   # the client leaves after so long, 0: it stays
+    abandons_after_ns: int   # the client leaves after so long, 0: it stays
 
 
 def _work(rng: np.random.Generator, item: Class, count: int) -> np.ndarray:
@@ -39,7 +39,7 @@
     return rng.lognormal(math.log(mean) - sigma * sigma / 2, sigma, count)
 
 
-def asks(experiment: Experiment, places: Places) -> Iterator[Ask]:
+def planned_requests(experiment: Experiment, places: Places) -> Iterator[PlannedRequest]:
     """Every first try of the run in the order of time."""
     world, load = experiment.world, experiment.load
     rng = np.random.default_rng([experiment.seed, 1])
@@ -63,7 +63,7 @@
 
 
 def _stretch(rng: np.random.Generator, experiment: Experiment, rate: float, begin: float, end: float,
-             shares: np.ndarray, zones: np.ndarray, used: list[int]) -> Iterator[Ask]:
+             shares: np.ndarray, zones: np.ndarray, used: list[int]) -> Iterator[PlannedRequest]:
     """Poisson arrivals of one rate: their number first, then their times in order."""
     world, load = experiment.world, experiment.load
     count = int(rng.poisson(rate * (end - begin)))
@@ -77,10 +77,10 @@
         cls = min(kinds[index], len(world.classes) - 1)
         ttl = int(world.classes[cls].deadline_ms * 1e6 * load.try_share)
         leaves = int(ttl * parts[index]) if early[index] < load.impatient else 0
-        yield Ask(times[index], used[min(where[index], len(used) - 1)], cls, works[cls][index], ttl, leaves)
+        yield PlannedRequest(times[index], used[min(where[index], len(used) - 1)], cls, works[cls][index], ttl, leaves)
 
 
-class Caller:
+class RetryPolicy:
     """Whether and when a client tries again, by the platform's words on the other side of the gateway."""
 
     def __init__(self, experiment: Experiment) -> None:
@@ -90,7 +90,7 @@
         self._again = [item.effect == "safe" or (item.effect == "keyed" and item.group == "all")
                        for item in self._classes]
 
-    def after(self, cls: int, tries: int, how: str, retry_after_ns: int, spent_ns: int) -> int:
+    def retry_delay_ns(self, cls: int, tries: int, how: str, retry_after_ns: int, spent_ns: int) -> int:
         """The wait before the next try, ns, or -1 for none.  `how` is refused, failed or unreachable.
 
         After a failure only what may be repeated is tried again; after a refusal, or where the gateway was
--- a/moleworks/rig/real/clients.py
+++ b/moleworks/rig/real/clients.py
@@ -115,7 +115,7 @@
 
     __slots__ = ("ask", "connection", "gateway", "message", "origin", "over", "rid", "since", "timer", "tries", "ttl")
 
-    def __init__(self, rid: int, origin: int, ask: plan.Ask, tries: int, gateway: str, ttl: int,
+    def __init__(self, rid: int, origin: int, ask: plan.PlannedRequest, tries: int, gateway: str, ttl: int,
                  message: bytes) -> None:
         self.rid, self.origin, self.ask, self.tries = rid, origin, ask, tries
         self.gateway, self.ttl, self.message = gateway, ttl, message
@@ -173,8 +173,8 @@
         self._gateways = {name: tuple(where) for name, where in told["gateways"].items()}
         zone_of = {name: place.zone for name, place in world.gateways.items()}
         self._front = Front(self._gateways, zone_of, len(world.zones))
-        self._asks: Iterator[plan.Ask] = plan.asks(experiment, world)
-        self._caller = plan.Caller(experiment)
+        self._asks: Iterator[plan.PlannedRequest] = plan.planned_requests(experiment, world)
+        self._caller = plan.RetryPolicy(experiment)
         self._rng = random.Random(f"front {experiment.seed}")
         self._idle: dict[str, list[_Connection]] = {name: [] for name in self._gateways}
         self._late = Lateness()
@@ -222,10 +222,10 @@
             due = (self._clock.epoch + ask.at_ns - time.monotonic_ns()) / 1e9
             self._loop.call_at(self._loop.time() + due, self._planned, ask)
 
-    def _planned(self, ask: plan.Ask) -> None:
+    def _planned(self, ask: plan.PlannedRequest) -> None:
         self._try(ask, 0, 1, ask.ttl_ns)
 
-    def _try(self, ask: plan.Ask, origin: int, tries: int, ttl: int) -> None:
+    def _try(self, ask: plan.PlannedRequest, origin: int, tries: int, ttl: int) -> None:
         self._rids += 1
         rid = self._rids
         gateway = self._rng.choice(self._front.choices[ask.zone])
@@ -233,7 +233,7 @@
         self._open.add(held)
         self._go(held, False)
 
-    def _word(self, rid: int, origin: int, ask: plan.Ask, ttl: int) -> bytes:
+    def _word(self, rid: int, origin: int, ask: plan.PlannedRequest, ttl: int) -> bytes:
         """The request as PROTOCOL words it; its work stands in the query, for the emulated hosts."""
         item = self._experiment.world.classes[ask.cls]
         head = (f"{'GET' if item.effect == 'safe' else 'POST'} /{item.name}/clip?w={ask.work_ns:.0f} HTTP/1.1\r\n"
@@ -282,8 +282,8 @@
         if not first:
             return
         held.timer = self._loop.call_later(held.ttl / 1e9 + GRACE_S, self._impatient, held, "none")
-        if held.ask.leaves_ns:
-            self._loop.call_later(held.ask.leaves_ns / 1e9, self._impatient, held, "left")
+        if held.ask.abandons_after_ns:
+            self._loop.call_later(held.ask.abandons_after_ns / 1e9, self._impatient, held, "left")
 
     def _impatient(self, held: _Try, how: str) -> None:
         if not held.over:
@@ -338,7 +338,8 @@
         if how in ("served", "none", "left"):
             return
         ask, spent = held.ask, now - held.ask.at_ns
-        wait = self._caller.after(ask.cls, held.tries, "failed" if how == "cut" else how, int(retry_after * 1e9), spent)
+        wait = self._caller.retry_delay_ns(ask.cls, held.tries, "failed" if how == "cut" else how,
+                                           int(retry_after * 1e9), spent)
         if wait >= 0:
             left = int(self._experiment.world.classes[ask.cls].deadline_ms * 1e6) - spent - wait
             self._loop.call_later(wait / 1e9, self._try, ask, held.origin, held.tries + 1, min(ask.ttl_ns, left))
--- a/moleworks/rig/real/faults.py
+++ b/moleworks/rig/real/faults.py
@@ -12,7 +12,7 @@
 from .. import history
 from ..listing import DRAINING, GONE, READY
 from ..places import CLIENTS
-from ..spec import GATEWAY_FAULTS, HOST_FAULTS, MEDDLES, SERVICE_FAULTS, Fault
+from ..spec import GATEWAY_FAULTS, HOST_FAULTS, SERVICE_FAULTS, TAMPERING_FAULTS, Fault
 from .fleet import Fleet
 from .procs import Trouble
 
@@ -198,7 +198,7 @@
             for other in fleet.places.select(fault.to):
                 if one == other:
                     continue
-                if fault.kind in MEDDLES:
+                if fault.kind in TAMPERING_FAULTS:
                     self._meddle(one, other, fault, begins)
                     continue
                 fleet.fault_between(fault.kind, begins, fault.size, one, other, not fault.one_way)
--- a/moleworks/rig/real/keeper.py
+++ b/moleworks/rig/real/keeper.py
@@ -12,7 +12,7 @@
 from moleworks.store.state import Guard, Put
 
 from .. import history
-from ..store_history import Act, Granted, Let
+from ..store_history import Act, Granted, GrantReleased
 from .child import Clock, main, report
 from .odd import leave_out
 
@@ -76,7 +76,7 @@
                 finally:
                     keeping.cancel()
                 token = held.token
-                self._writer.add(Let(self._clock.now(), self._name, token, why))
+                self._writer.add(GrantReleased(self._clock.now(), self._name, token, why))
                 self._writer.flush()
                 report("lets", token=token)
                 if why == "handed":
--- a/moleworks/rig/real/load.py
+++ b/moleworks/rig/real/load.py
@@ -74,7 +74,7 @@
     def _planned(self, number: int, at: float) -> None:
         self._open += 1
         self.late.add(int((self._loop.time() - at) * 1e9))
-        ask = plan.Ask(int(at * 1e9), 0, 0, 0.0, int(self._timeout_s * 1e9), 0)
+        ask = plan.PlannedRequest(int(at * 1e9), 0, 0, 0.0, int(self._timeout_s * 1e9), 0)
         held = _Try(number, number, ask, 1, "", ask.ttl_ns, self._message % number)
         held.timer = self._loop.call_at(at + self._timeout_s, self._over_time, held)
         while self._idle:
--- a/moleworks/rig/real/members.py
+++ b/moleworks/rig/real/members.py
@@ -23,7 +23,7 @@
 from moleworks.store.state import Condition, Put
 
 from .. import history
-from ..store_history import Begun, Calm, Died, Event, Operation, Truth, Usage
+from ..store_history import Calm, Event, Operation, ProcessEvent, StoreRun, Truth, Usage
 from ..store_judge import judge
 from ..store_spec import MEMBERS, SPARES, StoreExperiment, schedule
 from .child import Clock
@@ -79,7 +79,7 @@
 
     def died(self, who: str, what: str, why: str = "") -> None:
         """A line on a process."""
-        self.writer.add(Died(self.clock.now(), who, what, why))
+        self.writer.add(ProcessEvent(self.clock.now(), who, what, why))
 
     async def start_member(self, name: str, joins: bool = False) -> None:
         """A member's process; its peers are reached through links."""
@@ -223,8 +223,9 @@
             await self._start_list()
             begins = self.clock.now()
             end = begins + int(experiment.duration_s * 1e9)
-            self.writer.add(Begun(0, experiment.seed, self.names, self.keepers, experiment.ttl_ms, end,
-                                  self.services, experiment.bound_s * 1000, experiment.host_ttl_ms, experiment.records))
+            self.writer.add(StoreRun(0, experiment.seed, self.names, self.keepers, experiment.ttl_ms, end,
+                                     self.services, experiment.bound_s * 1000, experiment.host_ttl_ms,
+                                     experiment.records))
             self._tasks.append(asyncio.create_task(self._watch()))
             writing = [asyncio.create_task(self._write(name)) for name in self.writers]
             self._tasks += writing
--- a/moleworks/rig/real/watching.py
+++ b/moleworks/rig/real/watching.py
@@ -13,7 +13,7 @@
 from moleworks.registry.rows import Line
 
 from .. import history
-from ..store_history import Read, Refusal, Told
+from ..store_history import Read, Refusal, WatcherUpdate
 from .child import Clock, main
 
 
@@ -33,7 +33,8 @@
             part.writer.add(Refusal(part.clock.now(), self._number, str(error)))
             raise
         rows = [[row.instance_id, row.lifecycle, row.host_port] for row in line.instances] if part.records else []
-        part.writer.add(Told(part.clock.now(), self._number, line.generation, line.reset, rows, len(self.rows)))
+        part.writer.add(WatcherUpdate(part.clock.now(), self._number, line.generation, line.reset, rows,
+                                      len(self.rows)))
         return line
 
 
--- a/moleworks/rig/spec.py
+++ b/moleworks/rig/spec.py
@@ -145,7 +145,7 @@
 GATEWAY_FAULTS = ("kill", "term", "stop", "upgrade", "hup")
 LINK_FAULTS = ("cut", "half_open", "delay", "loss", "duplicate", "reorder", "rate", "reset")
 SERVICE_FAULTS = ("discovery_down", "discovery_silent", "discovery_reset")
-MEDDLES = ("misroute", "replay", "swallow")
+TAMPERING_FAULTS = ("misroute", "replay", "swallow")
 Kind = Literal["crash", "vanish", "slow", "drain", "errors", "pause",
                "kill", "term", "stop", "upgrade", "hup",
                "cut", "half_open", "delay", "loss", "duplicate", "reorder", "rate", "reset",
--- a/moleworks/rig/store_history.py
+++ b/moleworks/rig/store_history.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 
-class Begun(Struct, tag_field="e", tag="store"):
+class StoreRun(Struct, tag_field="e", tag="store"):
     """The first line."""
 
     t: int
@@ -66,7 +66,7 @@
     late: bool          # it knew that it held nothing any more, and went on all the same
 
 
-class Let(Struct, tag_field="e", tag="let"):
+class GrantReleased(Struct, tag_field="e", tag="let"):
     """A keeper acts no longer under a token."""
 
     t: int
@@ -75,7 +75,7 @@
     why: str
 
 
-class Died(Struct, tag_field="e", tag="process"):
+class ProcessEvent(Struct, tag_field="e", tag="process"):
     """A process has been started, killed, or has ended by itself with its last words."""
 
     t: int
@@ -94,7 +94,7 @@
 # ---- The list ------------------------------------------------------------------------------------------------
 
 
-class Told(Struct, tag_field="e", tag="told"):
+class WatcherUpdate(Struct, tag_field="e", tag="told"):
     """A watcher has taken a line; rows are name, lifecycle, address.  `size`: hosts that it has now."""
 
     t: int
--- a/moleworks/rig/store_judge.py
+++ b/moleworks/rig/store_judge.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from . import registry_judge
-from .linear import Holding, Op, TooLong, held_twice, linearizable, tokens_broken
+from .linear import Holding, Op, TooLong, linearizable, overlapping_holdings, stale_token_writes
 
 FIGURES = ("operations", "unknown", "grants", "acts", "refused", "events", "write_p50_ms", "write_p99_ms",
            "write_gap_s", "takeover_ms", "handover_ms", "member_ends", "undecided")
@@ -84,9 +84,10 @@
         end = min([until[key], lets.get(key, 1 << 62)]
                   + [t for who, t in kills if who == line["who"] and t >= line["t"]])
         holdings.append(Holding("lead", line["who"], line["token"], line["t"], max(end, line["t"])))
-    told += held_twice(holdings)
-    told += tokens_broken([(line["t"], line["token"]) for line in story.all("grant")],
-                          [(line["sent"], line["token"], line["who"]) for line in story.all("act") if line["done"]])
+    told += overlapping_holdings(holdings)
+    told += stale_token_writes([(line["t"], line["token"]) for line in story.all("grant")],
+                               [(line["sent"], line["token"], line["who"])
+                                for line in story.all("act") if line["done"]])
     grants = sorted(story.all("grant"), key=lambda line: line["t"])
     for act in story.all("act"):
         if not act["late"]:
--- a/moleworks/rig/virtual/fleet.py
+++ b/moleworks/rig/virtual/fleet.py
@@ -34,7 +34,7 @@
 
     __slots__ = ("ask", "gateway", "origin", "over", "rid", "tries")
 
-    def __init__(self, rid: int, origin: int, ask: plan.Ask, tries: int, gateway: Gateway) -> None:
+    def __init__(self, rid: int, origin: int, ask: plan.PlannedRequest, tries: int, gateway: Gateway) -> None:
         self.rid = rid
         self.origin = origin
         self.ask = ask
@@ -53,7 +53,7 @@
         self.loop = Loop()
         self.rng = random.Random(f"network {experiment.seed}")
         self.links = Links(self.loop, random.Random(f"links {experiment.seed}"))
-        self.caller = plan.Caller(experiment)
+        self.caller = plan.RetryPolicy(experiment)
         self.tokens = 0
         self.class_names = [item.name for item in experiment.world.classes]
         self._writer = history.Writer(out / "history.jsonl")
@@ -77,7 +77,7 @@
             self.start_gateway(name)
         self.faults = Faults(self, timeline(experiment, places))
         self._rids = 0
-        self._asks: Iterator[plan.Ask] = plan.asks(experiment, places)
+        self._asks: Iterator[plan.PlannedRequest] = plan.planned_requests(experiment, places)
         self._open: dict[int, Try] = {}
         self._patience = [Lane(self.loop, self._impatient) for _ in self.class_names]
 
@@ -98,11 +98,11 @@
         if ask is not None:
             self.loop.at(ask.at_ns, self._planned, ask)
 
-    def _planned(self, ask: plan.Ask) -> None:
+    def _planned(self, ask: plan.PlannedRequest) -> None:
         self._next()
         self._try(ask, self._rids + 1, 1, ask.ttl_ns, False)
 
-    def _try(self, ask: plan.Ask, origin: int, tries: int, ttl: int, repeat: bool) -> None:
+    def _try(self, ask: plan.PlannedRequest, origin: int, tries: int, ttl: int, repeat: bool) -> None:
         """A client's first or later try."""
         self._rids += 1
         rid = self._rids
@@ -116,10 +116,10 @@
             return
         self.links.stream(CLIENTS, gateway.name, delay, self._arrived, gateway, rid, ask, ttl, repeat)
         self._patience[ask.cls].add(now + ttl + GRACE_NS, held)
-        if ask.leaves_ns:
-            self.loop.at(now + ask.leaves_ns, self._leaves, held)
+        if ask.abandons_after_ns:
+            self.loop.at(now + ask.abandons_after_ns, self._leaves, held)
 
-    def _arrived(self, gateway: Gateway, rid: int, ask: plan.Ask, ttl: int, repeat: bool) -> None:
+    def _arrived(self, gateway: Gateway, rid: int, ask: plan.PlannedRequest, ttl: int, repeat: bool) -> None:
         if gateway.alive:
             gateway.hear(gateway.take, rid, ask.cls, ask.work_ns, ttl, repeat)
         else:
@@ -156,7 +156,7 @@
             return
         spent = now - ask.at_ns
         kind = "failed" if how == "cut" else how
-        wait = self.caller.after(ask.cls, held.tries, kind, retry_after_ns, spent)
+        wait = self.caller.retry_delay_ns(ask.cls, held.tries, kind, retry_after_ns, spent)
         if wait >= 0:
             left = int(self.experiment.world.classes[ask.cls].deadline_ms * 1e6) - spent - wait
             self.loop.at(now + wait, self._try, ask, held.origin, held.tries + 1,
--- a/moleworks/rig/virtual/histories.py
+++ b/moleworks/rig/virtual/histories.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from ..linear import TooLong, held_twice, linearizable, tokens_broken
+from ..linear import TooLong, linearizable, overlapping_holdings, stale_token_writes
 from .cluster import Cluster, Settings
 from .members import SECOND, Parts
 
@@ -48,7 +48,7 @@
                 told.append(f"{key} is not linearizable")
         except TooLong:
             undecided += 1
-    told += held_twice(cluster.holdings) + tokens_broken(cluster.granted, cluster.guarded)
+    told += overlapping_holdings(cluster.holdings) + stale_token_writes(cluster.granted, cluster.guarded)
     last = max((op.returned or 0 for ops in cluster.ops.values() for op in ops), default=0)
     if not told and last < cluster.end - SECOND:
         told.append("no answer in the calm at the end")
--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from moleworks.rig.judge import judged
+from moleworks.rig.judge import judge_lines
 
 MS = 1_000_000
 WORLD = {
@@ -116,7 +116,7 @@
 
 
 def verdict(lines: list[dict[str, Any]], hold: dict[str, Any] | None = None) -> dict[str, Any]:
-    return judged([WORLD, LISTED, *sorted(lines, key=lambda line: line["t"])], hold or {})[0]
+    return judge_lines([WORLD, LISTED, *sorted(lines, key=lambda line: line["t"])], hold or {})[0]
 
 
 @pytest.mark.parametrize("name", HELD)
--- a/tests/test_rig_model.py
+++ b/tests/test_rig_model.py
@@ -99,8 +99,8 @@
 def test_the_plan_is_the_load_that_was_asked_for() -> None:
     experiment = spec.Experiment("x", duration_s=60, load=spec.Load(
         rps=400, zone_weights=[3, 1, 1], bursts=[spec.Burst(20, 10, 3)]))
-    asks = list(plan.asks(experiment, places.Places(experiment)))
-    assert asks == list(plan.asks(experiment, places.Places(experiment)))
+    asks = list(plan.planned_requests(experiment, places.Places(experiment)))
+    assert asks == list(plan.planned_requests(experiment, places.Places(experiment)))
     assert [ask.at_ns for ask in asks] == sorted(ask.at_ns for ask in asks)
     in_burst = sum(20 <= ask.at_ns / 1e9 < 30 for ask in asks)
     assert abs(in_burst - 12_000) < 400 and abs(len(asks) - in_burst - 20_000) < 500
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,7 +7,7 @@
 import pytest
 
 from moleworks.duties.held import Held
-from moleworks.rig.linear import Holding, Op, held_twice, linearizable
+from moleworks.rig.linear import Holding, Op, linearizable, overlapping_holdings
 from moleworks.rig.virtual import explore, histories
 from moleworks.rig.virtual.mutants import MUTANTS
 from moleworks.store import state
@@ -83,9 +83,9 @@
 
 def test_two_holders_at_once_are_detected() -> None:
     rows = [Holding("d", "a", 1, 0, 10), Holding("d", "b", 2, 10, 20)]
-    assert held_twice(rows) == []
-    assert held_twice([rows[0], Holding("d", "b", 2, 9, 20)]) != []
-    assert held_twice([rows[1], Holding("d", "a", 1, 30, 40)]) != []
+    assert overlapping_holdings(rows) == []
+    assert overlapping_holdings([rows[0], Holding("d", "b", 2, 9, 20)]) != []
+    assert overlapping_holdings([rows[1], Holding("d", "a", 1, 30, 40)]) != []
 
 
 def test_a_leader_finds_the_matching_index_of_a_follower_with_other_terms() -> None:
