--- a/moleworks/rig/__init__.py
+++ b/moleworks/rig/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: emulated hosts and clients round the gateway, faults between, judges of what was seen."""
+"""The test rig: emulated hosts and clients around the gateway, injected faults, and judges of the recorded history."""
--- a/moleworks/rig/baselines.py
+++ b/moleworks/rig/baselines.py
@@ -1,7 +1,7 @@
-"""Plain policies to compare the decision module with; they keep the rules on repeats and nothing else.
+"""Simple load-balancing policies to compare the decision module with; they obey only the rules on retries.
 
-random, round_robin, least (least in flight), two (two random choices, fewer in flight wins, plain retries) and
-two_budget (the same, retries at most a tenth of the requests).
+random, round_robin, least (fewest requests in flight), two (the one of two random hosts with fewer requests in
+flight) and two_budget (the same, with retries limited to a tenth of the requests).
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
     Settings,
 )
 
-BUDGET = 0.1
-"""Retries for each request, with a budget."""
-SAVED = 20.0
-"""Retries that a budget saves up at most."""
+BUDGET_PER_REQUEST = 0.1
+"""Retries that each request adds to the retry budget."""
+MAX_BUDGET = 20.0
+"""Maximum of the retry budget."""
 
 
-class _Held:
-    __slots__ = ("begun", "cls", "deadline", "first", "tried")
+class _OpenRequest:
+    __slots__ = ("attempt_started_at", "cls", "deadline", "first", "tried_hosts")
 
     def __init__(self, cls: int, deadline: int) -> None:
         self.cls = cls
         self.deadline = deadline
-        self.begun = 0
-        self.tried: list[HostId] = []
-        self.first: tuple[HostId, int] | None = None   # the first attempt that may have run
+        self.attempt_started_at = 0
+        self.tried_hosts: list[HostId] = []
+        self.first: tuple[HostId, int] | None = None   # host and start of the first attempt that may have run
 
 
 class Baseline:
-    """A `Decisions` with a choice of host and plain retries at a third of the time."""
+    """A `Decisions` with a policy for choosing hosts; an attempt times out after a third of the time left."""
 
     def __init__(self, settings: Settings, salt: int, actions: Actions, pick: str, budget: bool = False) -> None:
         self._settings = settings
@@ -48,12 +48,12 @@
         self._rng = random.Random(salt)
         self._pick: Callable[[list[HostId]], HostId] = getattr(self, "_" + pick)
         self._budget = budget
-        self._tokens = SAVED
-        self._turn = self._rng.randrange(1000)
+        self._retry_tokens = MAX_BUDGET
+        self._next_index = self._rng.randrange(1000)
         self._hosts: dict[HostId, HostEntry] = {}
         self._ready: list[HostId] = []
-        self._out: dict[HostId, int] = {}
-        self._held: dict[int, _Held] = {}
+        self._in_flight: dict[HostId, int] = {}
+        self._requests: dict[int, _OpenRequest] = {}
 
     # ---- Choices ----------------------------------------------------------------------------------------
 
@@ -61,16 +61,16 @@
         return self._rng.choice(hosts)
 
     def _round_robin(self, hosts: list[HostId]) -> HostId:
-        self._turn += 1
-        return hosts[self._turn % len(hosts)]
+        self._next_index += 1
+        return hosts[self._next_index % len(hosts)]
 
     def _least(self, hosts: list[HostId]) -> HostId:
-        fewest = min(self._out.get(host, 0) for host in hosts)
-        return self._rng.choice([host for host in hosts if self._out.get(host, 0) == fewest])
+        fewest = min(self._in_flight.get(host, 0) for host in hosts)
+        return self._rng.choice([host for host in hosts if self._in_flight.get(host, 0) == fewest])
 
     def _two(self, hosts: list[HostId]) -> HostId:
         one, other = self._rng.choice(hosts), self._rng.choice(hosts)
-        return one if self._out.get(one, 0) <= self._out.get(other, 0) else other
+        return one if self._in_flight.get(one, 0) <= self._in_flight.get(other, 0) else other
 
     # ---- Events -----------------------------------------------------------------------------------------
 
@@ -92,54 +92,55 @@
 
     def on_request(self, now_ns: int, rid: int, cls: int, tenant: int, key: int, ttl_ns: int, hint_ns: int,
                    repeat: bool, write: bool = False) -> None:
-        self._held[rid] = _Held(cls, now_ns + ttl_ns)
-        self._tokens = min(SAVED, self._tokens + BUDGET)
+        self._requests[rid] = _OpenRequest(cls, now_ns + ttl_ns)
+        self._retry_tokens = min(MAX_BUDGET, self._retry_tokens + BUDGET_PER_REQUEST)
         self._send(now_ns, rid, self._ready)
 
     def _send(self, now_ns: int, rid: int, hosts: list[HostId]) -> None:
-        held = self._held[rid]
-        fresh = [host for host in hosts if host not in held.tried] or hosts
-        if not fresh:
-            del self._held[rid]
-            self._actions.fail(rid) if held.first else self._actions.refuse(rid, 0)
+        request = self._requests[rid]
+        candidates = [host for host in hosts if host not in request.tried_hosts] or hosts
+        if not candidates:
+            del self._requests[rid]
+            self._actions.fail(rid) if request.first else self._actions.refuse(rid, 0)
             return
-        host = self._pick(fresh)
-        held.tried.append(host)
-        self._out[host] = self._out.get(host, 0) + 1
-        held.begun = now_ns
-        timeout = max(1, (held.deadline - now_ns) // 3)
+        host = self._pick(candidates)
+        request.tried_hosts.append(host)
+        self._in_flight[host] = self._in_flight.get(host, 0) + 1
+        request.attempt_started_at = now_ns
+        timeout = max(1, (request.deadline - now_ns) // 3)
         self._actions.send(rid, host, timeout)
 
     def on_outcome(self, now_ns: int, rid: int, attempt: int, host: HostId, outcome: Outcome, spent_ns: int,
                    request_ended: bool, load: Sequence[float]) -> None:
-        self._out[host] = max(0, self._out.get(host, 0) - 1)
-        held = self._held.get(rid)
-        if held is None:
+        self._in_flight[host] = max(0, self._in_flight.get(host, 0) - 1)
+        request = self._requests.get(rid)
+        if request is None:
             return
         if request_ended:
-            del self._held[rid]
+            del self._requests[rid]
             return
-        if outcome not in NEVER_RAN and held.first is None:
-            held.first = (host, held.begun)
-        where = self._again(now_ns, held)
-        if len(held.tried) >= self._settings.limits.max_attempts or now_ns >= held.deadline or not where:
-            self._give_up(rid, held)
+        if outcome not in NEVER_RAN and request.first is None:
+            request.first = (host, request.attempt_started_at)
+        retry_hosts = self._retry_hosts(now_ns, request)
+        if (len(request.tried_hosts) >= self._settings.limits.max_attempts or now_ns >= request.deadline
+                or not retry_hosts):
+            self._give_up(rid, request)
             return
         if self._budget:
-            if self._tokens < 1:
-                self._give_up(rid, held)
+            if self._retry_tokens < 1:
+                self._give_up(rid, request)
                 return
-            self._tokens -= 1
-        self._send(now_ns, rid, where)
+            self._retry_tokens -= 1
+        self._send(now_ns, rid, retry_hosts)
 
-    def _again(self, now_ns: int, held: _Held) -> list[HostId]:
-        """Where the request may still go."""
-        cls = self._settings.classes[held.cls]
-        if held.first is None or cls.effect is Effect.SAFE:
+    def _retry_hosts(self, now_ns: int, request: _OpenRequest) -> list[HostId]:
+        """Return the hosts to which the request may still be sent."""
+        cls = self._settings.classes[request.cls]
+        if request.first is None or cls.effect is Effect.SAFE:
             return self._ready
-        if cls.effect is Effect.UNSAFE or now_ns > held.first[1] + cls.window_ns:
+        if cls.effect is Effect.UNSAFE or now_ns > request.first[1] + cls.window_ns:
             return []
-        first = self._hosts.get(held.first[0])
+        first = self._hosts.get(request.first[0])
         if first is None:
             return []
         if cls.group is Group.ALL:
@@ -147,16 +148,16 @@
         same = [host for host in self._ready if self._hosts[host].zone == first.zone]
         return [host for host in same if cls.group is Group.ZONE or self._hosts[host].cell == first.cell]
 
-    def _give_up(self, rid: int, held: _Held) -> None:
-        del self._held[rid]
-        cls = self._settings.classes[held.cls]
-        if held.first is None or cls.effect is Effect.SAFE:
+    def _give_up(self, rid: int, request: _OpenRequest) -> None:
+        del self._requests[rid]
+        cls = self._settings.classes[request.cls]
+        if request.first is None or cls.effect is Effect.SAFE:
             self._actions.refuse(rid, 0)
         else:
             self._actions.fail(rid)
 
     def on_client_disconnected(self, now_ns: int, rid: int) -> None:
-        self._held.pop(rid, None)
+        self._requests.pop(rid, None)
 
     def on_body_streaming(self, now_ns: int, rid: int, attempt: int) -> None:
         pass
@@ -184,9 +185,9 @@
         return 0
 
 
-def _maker(pick: str, budget: bool = False) -> Callable[[Settings, int, Actions], Baseline]:
+def _factory(pick: str, budget: bool = False) -> Callable[[Settings, int, Actions], Baseline]:
     return lambda settings, salt, actions: Baseline(settings, salt, actions, pick, budget)
 
 
-BASELINES = {"random": _maker("random"), "round_robin": _maker("round_robin"), "least": _maker("least"),
-             "two": _maker("two"), "two_budget": _maker("two", True)}
+BASELINES = {"random": _factory("random"), "round_robin": _factory("round_robin"), "least": _factory("least"),
+             "two": _factory("two"), "two_budget": _factory("two", True)}
--- a/moleworks/rig/compare.py
+++ b/moleworks/rig/compare.py
@@ -1,4 +1,4 @@
-"""Versions and baselines side by side: the same worlds and seeds for each, differences in pairs with their interval."""
+"""Compares versions and baselines on the same worlds and seeds, with paired differences and their intervals."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def interval(differences: list[float]) -> tuple[float, float]:
-    """Mean and half the width of its 95% interval, by Student's t; infinite where there is one pair only."""
+    """Return the mean and half the width of its 95% interval, by Student's t; infinite for a single pair."""
     count = len(differences)
     mean = statistics.fmean(differences)
     if count < 2:
@@ -35,41 +35,43 @@
 
 @contextlib.contextmanager
 def checkouts(names: list[str], real: bool) -> Iterator[dict[str, tuple[str, str, str]]]:
-    """For each name: its version's id, its policy and its folder.  `worktree` is what lies here; a baseline has no
-    folder; anything else is a git revision, laid out in a folder of its own for as long as this lasts.
+    """Yield the version id, policy and folder of each name.
 
-    Raises ConfigError.
+    `worktree` is the current working tree; a baseline has no folder; any other name is a git revision, extracted into
+    a temporary folder for the duration of the context.  Raises ConfigError.
     """
     with tempfile.TemporaryDirectory(prefix="moleworks-versions-") as top:
-        found: dict[str, tuple[str, str, str]] = {}
+        versions: dict[str, tuple[str, str, str]] = {}
         for name in names:
             if name in BASELINES:
                 if real:
                     raise config.ConfigError([f"--versions: {name} plays in virtual time only"])
-                found[name] = (name, name, "")
+                versions[name] = (name, name, "")
             elif name == "worktree":
-                found[name] = (f"worktree {_git('rev-parse', '--short', 'HEAD')}", "module", "")
+                versions[name] = (f"worktree {_git('rev-parse', '--short', 'HEAD')}", "module", "")
             else:
                 commit = _git("rev-parse", "--verify", "--short", f"{name}^{{commit}}")
                 folder = Path(top) / commit
                 if not folder.exists():
-                    _lay(commit, folder, real)
-                found[name] = (commit, "module", str(folder))
-        yield found
+                    _extract(commit, folder, real)
+                versions[name] = (commit, "module", str(folder))
+        yield versions
 
 
-def _git(*words: str) -> str:
-    done = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise config.ConfigError([f"--versions: {done.stderr.strip() or words[-1]}"])
-    return done.stdout.strip()
+def _git(*arguments: str) -> str:
+    process = subprocess.run(["git", *arguments], cwd=ROOT, capture_output=True, text=True, check=False)
+    if process.returncode:
+        raise config.ConfigError([f"--versions: {process.stderr.strip() or arguments[-1]}"])
+    return process.stdout.strip()
 
 
-def _lay(commit: str, folder: Path, real: bool) -> None:
-    """A revision's program in a folder.  Its build line is never run: older ones clear a folder that is a link here."""
+def _extract(commit: str, folder: Path, real: bool) -> None:
+    """Extract a revision into a folder.  Its build command is not run: in older revisions it clears a folder that is
+    a symbolic link here.
+    """
     folder.mkdir()
-    wanted = ["bridgesaddle", "gateway", "deploy"] if real else ["bridgesaddle"]
-    archive = subprocess.run(["git", "archive", commit, *wanted], cwd=ROOT, capture_output=True, check=False)
+    paths = ["bridgesaddle", "gateway", "deploy"] if real else ["bridgesaddle"]
+    archive = subprocess.run(["git", "archive", commit, *paths], cwd=ROOT, capture_output=True, check=False)
     if archive.returncode:
         raise config.ConfigError([f"--versions: {commit}: {archive.stderr.decode().strip()}"])
     subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
@@ -80,29 +82,31 @@
 
 
 def expand(planned: list[Job], versions: dict[str, tuple[str, str, str]]) -> list[Job]:
-    """Every job for every version, seeds together so that pairs are played near each other."""
+    """Return every job for every version, ordered by seed so that the runs of a pair are close in time."""
     return [msgspec.structs.replace(job, version=version, policy=policy, path=folder)
             for job in planned for version, policy, folder in versions.values()]
 
 
 def table(played: list[tuple[Job, dict[str, Any]]], order: list[str]) -> list[dict[str, Any]]:
-    """One row a version: means, and the paired difference of `in_time` from the first, with its interval."""
-    by: dict[str, dict[tuple[str, int], dict[str, Any]]] = {}
+    """Return one row per version: means, and the paired difference of `in_time` from the first, with its interval."""
+    by_version: dict[str, dict[tuple[str, int], dict[str, Any]]] = {}
     for job, result in played:
-        by.setdefault(job.version, {})[job.params, job.seed] = result
+        by_version.setdefault(job.version, {})[job.params, job.seed] = result
     rows = []
-    first = by.get(order[0], {})
+    first = by_version.get(order[0], {})
     for version in order:
-        good = {key: result for key, result in by.get(version, {}).items() if result["figures"].get("asked")}
-        row: dict[str, Any] = {"version": version, "runs": len(good),
-                               "broken": sum(result["verdict"] != "held" for result in by.get(version, {}).values())}
+        completed = {key: result for key, result in by_version.get(version, {}).items()
+                     if result["figures"].get("asked")}
+        row: dict[str, Any] = {"version": version, "runs": len(completed),
+                               "broken": sum(result["verdict"] != "held"
+                                             for result in by_version.get(version, {}).values())}
         for figure in FIGURES:
-            values = [result["figures"][figure] for result in good.values()]
+            values = [result["figures"][figure] for result in completed.values()]
             row[figure] = round(statistics.fmean(values), 4) if values else 0.0
         pairs = [result["figures"]["in_time"] - first[key]["figures"]["in_time"]
-                 for key, result in good.items() if first.get(key, {}).get("figures", {}).get("asked")]
+                 for key, result in completed.items() if first.get(key, {}).get("figures", {}).get("asked")]
         if pairs and version != order[0]:
-            mean, half = interval(pairs)
-            row["difference"], row["half_width"] = round(mean, 4), round(half, 4)
+            mean, half_width = interval(pairs)
+            row["difference"], row["half_width"] = round(mean, 4), round(half_width, 4)
         rows.append(row)
     return rows
--- a/moleworks/rig/history.py
+++ b/moleworks/rig/history.py
@@ -1,7 +1,7 @@
-"""The record of a run, seen from outside the program: one JSON object a line, `e` naming its kind, `t` in ns.
+"""The history of a run as observed from outside the gateway: one JSON object per line.
 
-`t` counts from the run's start, on the machine's one monotonic clock or in virtual time.  Judges read the lines on
-their own; nothing here is shared with them.
+Field `e` is the kind of the line, `t` its time in ns since the run's start, on the machine's monotonic clock or in
+virtual time.  Judges parse the lines themselves and share no code with this module.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class World(Struct, tag_field="e", tag="world"):
-    """The first line: who is there, and the rules' figures.  Times in ns."""
+    """The first line: the hosts, gateways and classes, and the limits of the rules.  Times in ns."""
 
     t: int
     driver: str
@@ -32,7 +32,10 @@
 
 
 class Ask(Struct, tag_field="e", tag="ask"):
-    """A client has written a request's last byte.  `o`: the first try's id; `ttl`: how long it waits."""
+    """A client has written the last byte of a request.
+
+    `r`: request id; `o`: id of the client's first try; `g`: gateway; `c`: class; `ttl`: the client's timeout.
+    """
 
     t: int
     r: int
@@ -43,9 +46,10 @@
 
 
 class Answer(Struct, tag_field="e", tag="answer"):
-    """What the client saw: served, refused, failed, cut (ended without a whole answer), none, unreachable, left.
+    """The outcome that the client saw.
 
-    `by`: the token that the body carried, for a served one.
+    `how`: served, refused, failed, cut (connection ended before the response was complete), none (no response),
+    unreachable or left (the client disconnected); `by`: the arrival token in the body of a served response.
     """
 
     t: int
@@ -55,10 +59,10 @@
 
 
 class Begin(Struct, tag_field="e", tag="begin"):
-    """A host has got a request's last byte; `k` is a token of this arrival alone.
+    """A host has received the last byte of a request; `k` is the unique token of this arrival.
 
-    `c` and `n`: the link's connection and the request's number on it.  `s`: when it was sent, where a link held it,
-    and `x`: when the gateway had given it up by then, both -1 where it is not so.
+    `c` and `n`: the link's connection and the number of the request on it.  `s`: when the request was sent, if a link
+    delayed it; `x`: when the gateway cancelled the attempt, if it did so before the arrival; otherwise -1.
     """
 
     t: int
@@ -73,7 +77,7 @@
 
 
 class Sent(Struct, tag_field="e", tag="sent"):
-    """A link has held request `n` of connection `c` for a while; it had come from the gateway at `t`."""
+    """A link delayed request `n` of connection `c`; the gateway sent it at `t`."""
 
     t: int
     c: int
@@ -81,14 +85,14 @@
 
 
 class Shut(Struct, tag_field="e", tag="shut"):
-    """The gateway's side of a link's connection is closed, by whichever side."""
+    """A link's connection to the gateway has been closed, by either side."""
 
     t: int
     c: int
 
 
 class End(Struct, tag_field="e", tag="end"):
-    """How that arrival ended at the host: served, error, full (never ran), died."""
+    """How an arrival ended at the host: served, error, full (never ran) or died."""
 
     t: int
     h: str
@@ -97,7 +101,7 @@
 
 
 class Left(Struct, tag_field="e", tag="left"):
-    """The gateway has given up that attempt before its end."""
+    """The gateway has cancelled the attempt before it ended."""
 
     t: int
     h: str
@@ -105,7 +109,7 @@
 
 
 class Listed(Struct, tag_field="e", tag="list"):
-    """A list, or its changes, has been written to a gateway: rows of host, state, start (ns or 0)."""
+    """A full list, or changes to it, has been written to a gateway: rows of host, state, start time (ns or 0)."""
 
     t: int
     g: str
@@ -114,7 +118,7 @@
 
 
 class HostEvent(Struct, tag_field="e", tag="host"):
-    """up, down, silent, drain or topple."""
+    """An event of a host: up, down, silent, drain or topple (collapse under overload)."""
 
     t: int
     h: str
@@ -122,7 +126,10 @@
 
 
 class GatewayEvent(Struct, tag_field="e", tag="gateway"):
-    """up, down, drain, stop, go, and hidden and seen: a fault stands between it and its clients."""
+    """An event of a gateway: up, down, drain, stop, go, hidden or seen.
+
+    hidden and seen: a fault that separates the gateway from its clients has begun or ended.
+    """
 
     t: int
     g: str
@@ -142,7 +149,7 @@
 
 
 class Note(Struct, tag_field="e", tag="note"):
-    """What the rig has to say of itself: how late it was, what it could not do."""
+    """A remark about the rig itself, such as how late it was or what it could not do."""
 
     t: int
     what: str
@@ -150,7 +157,7 @@
 
 
 class Writer:
-    """Appends records to a file; each part of a run has its own, merged at the end."""
+    """Appends records to a file; each process of a run writes its own file, and the files are merged at the end."""
 
     def __init__(self, path: Path) -> None:
         self._encode = msgspec.json.Encoder().encode
@@ -158,13 +165,13 @@
         self._lines: list[bytes] = []
 
     def add(self, record: Struct) -> None:
-        """One record."""
+        """Append one record."""
         self._lines.append(self._encode(record))
         if len(self._lines) >= FLUSH_LINES:
             self.flush()
 
     def flush(self) -> None:
-        """Hand what has gathered to the file."""
+        """Write the buffered lines to the file."""
         if self._lines:
             self._lines.append(b"")
             self._file.write(b"\n".join(self._lines))
@@ -172,36 +179,37 @@
         self._file.flush()
 
     def close(self) -> None:
-        """The part is over."""
+        """Flush and close the file."""
         self.flush()
         self._file.close()
 
 
-class _Time(Struct):
+class _Timestamp(Struct):
     t: int
 
 
 def merge(parts: Iterable[Path], into: Path) -> int:
-    """One history from several parts, in the order of time; a last line cut by a kill is left out.
+    """Merge the files of several processes into one history ordered by time; return the number of lines.
 
-    Returns the number of lines.  Parts are sorted one by one: a part's own lines may be a little out of order.
+    A last line that was truncated when a process was killed is dropped.  Each file is sorted first, as its lines may
+    be slightly out of order.
     """
-    decoder: msgspec.json.Decoder[_Time] = msgspec.json.Decoder(_Time)
+    decoder: msgspec.json.Decoder[_Timestamp] = msgspec.json.Decoder(_Timestamp)
 
-    def timed(path: Path) -> list[tuple[int, bytes]]:
+    def timed_lines(path: Path) -> list[tuple[int, bytes]]:
         lines = path.read_bytes().split(b"\n")
-        kept = []
+        parsed = []
         for line in lines:
             if line:
                 try:
-                    kept.append((decoder.decode(line).t, line))
+                    parsed.append((decoder.decode(line).t, line))
                 except msgspec.DecodeError:
                     continue
-        kept.sort(key=lambda pair: pair[0])
-        return kept
+        parsed.sort(key=lambda pair: pair[0])
+        return parsed
     count = 0
     with open(into, "wb") as file:
-        for _, line in heapq.merge(*(timed(path) for path in parts), key=lambda pair: pair[0]):
+        for _, line in heapq.merge(*(timed_lines(path) for path in parts), key=lambda pair: pair[0]):
             file.write(line + b"\n")
             count += 1
     return count
--- a/moleworks/rig/judge.py
+++ b/moleworks/rig/judge.py
@@ -93,12 +93,12 @@
         self._cross_zone_attempts = 0
         self._asked = 0
         self._classes: dict[int, list[float]] = {}
-        self._latency_us = HdrHistogram(1, 600_000_000, 3)   # microseconds
+        self._latency_us = HdrHistogram(1, 600_000_000, 3)
         self.seconds: dict[int, Counter[str]] = {}
         self.window_counts: dict[tuple[float, float], list[int]] = {}
         self.faults: list[dict[str, Any]] = []
         self.notes: list[dict[str, Any]] = []
-        self.hosts: Counter[str] = Counter()
+        self.attempts_by_host: Counter[str] = Counter()
         self._max_deadline_ns = 0
         self._last_ns = 0
 
@@ -159,7 +159,7 @@
                 arrival.ended_at = self._closed_at[line["c"]]
         self._arrivals[line["k"]] = arrival
         self._attempts += 1
-        self.hosts[line["h"]] += 1
+        self.attempts_by_host[line["h"]] += 1
         request = self._requests.get(line["r"])
         if request is None:
             if line["r"] not in self._judged_ids:
--- a/moleworks/rig/linear.py
+++ b/moleworks/rig/linear.py
@@ -1,8 +1,9 @@
-"""Is a history of one record linearizable?  Own books, shares nothing with the store.
+"""Checks whether a history of one record is linearizable; shares no code with the store.
 
-An operation is `(called, returned, kind, argument, result)`; `returned` None: nobody knows whether it happened.
-Kinds: `put` (value; True), `cas` (expected value and new value; True, False), `get` (None; the value).  After Wing and
-Gong, with Lowe's memory of what was tried: depth first over which operation took effect next.
+An operation is `(called, returned, kind, argument, result)`; `returned` None: it is unknown whether it took effect.
+Kinds (argument; result): `put` (value; True), `cas` (expected and new value; True or False), `get` (None; the value).
+The algorithm is that of Wing and Gong with Lowe's memoization: a depth-first search over which operation took effect
+next.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-FOREVER = 1 << 62
-MOST_STEPS = 100_000
+NEVER_RETURNED = 1 << 62
+MAX_STEPS = 100_000
 
 
 class Op(NamedTuple):
@@ -23,15 +24,15 @@
     kind: str
     argument: Any
     result: Any
-    revision: int = 0    # of a change, where the answer told it
+    revision: int = 0    # of a change, if the response contained it
 
 
 class TooLong(Exception):
-    """Not decided within the bound of steps."""
+    """The search did not finish within `MAX_STEPS`."""
 
 
 def _step(op: Op, state: tuple[Any, int]) -> tuple[Any, int] | None:
-    """The state after an operation, were it to take effect now; None: it can't have."""
+    """The state after an operation that takes effect now; None: its result contradicts the state."""
     value, revision = state
     known = op.returned is not None
     if op.kind == "get":
@@ -50,50 +51,50 @@
 
 
 def linearizable(ops: Sequence[Op], first: Any = None) -> bool:
-    """Whether some order explains every answer, with revisions that grow.  Raises TooLong."""
+    """Whether some order with growing revisions explains every result.  Raises TooLong."""
     order = sorted(ops, key=lambda op: op.called)
-    ends = [FOREVER if op.returned is None else op.returned for op in order]
+    ends = [NEVER_RETURNED if op.returned is None else op.returned for op in order]
     count = len(order)
-    must = sum(1 << index for index in range(count) if order[index].returned is not None)
-    looked_for = {op.result for op in order if op.kind == "get"} | {
+    required = sum(1 << index for index in range(count) if order[index].returned is not None)
+    read_values = {op.result for op in order if op.kind == "get"} | {
         op.argument[0] for op in order if op.kind == "cas"}
-    # Puts that nobody knows of, of values that nobody ever saw: one is as good as another, so the first will do.
-    alike = [op.kind == "put" and op.returned is None and op.argument not in looked_for for op in order]
+    # Puts with unknown outcome whose values were never read are interchangeable: only the first of them is tried.
+    interchangeable = [op.kind == "put" and op.returned is None and op.argument not in read_values for op in order]
     seen: set[tuple[int, Any]] = set()
     stack: list[tuple[int, tuple[Any, int]]] = [(0, (first, 0))]
     steps = 0
     while stack:
         done, state = stack.pop()
-        if done & must == must:
+        if done & required == required:
             return True
         if (done, state) in seen:
             continue
         seen.add((done, state))
         steps += 1
-        if steps > MOST_STEPS:
+        if steps > MAX_STEPS:
             raise TooLong
-        limit = FOREVER
-        index = (~done & (done + 1)).bit_length() - 1   # all before it are done
-        one = False
-        maybe: list[tuple[int, tuple[Any, int]]] = []
-        sure: list[tuple[int, tuple[Any, int]]] = []
-        while index < count and order[index].called <= limit:   # what was called after an answer comes after it
-            if not done >> index & 1 and not (alike[index] and one):
-                one = one or alike[index]
+        limit = NEVER_RETURNED
+        index = (~done & (done + 1)).bit_length() - 1   # all operations before it are done
+        interchangeable_tried = False
+        unknown: list[tuple[int, tuple[Any, int]]] = []
+        known: list[tuple[int, tuple[Any, int]]] = []
+        while index < count and order[index].called <= limit:   # a call after a response must follow it
+            if not done >> index & 1 and not (interchangeable[index] and interchangeable_tried):
+                interchangeable_tried = interchangeable_tried or interchangeable[index]
                 limit = min(limit, ends[index])
                 after = _step(order[index], state)
                 if after == state and order[index].returned is not None:
-                    maybe, sure = [], [(done | 1 << index, state)]   # changes nothing and fits: it may go first
+                    unknown, known = [], [(done | 1 << index, state)]   # fits, changes nothing: may go first
                     break
                 if after is not None and after != state:
-                    (sure if order[index].returned is not None else maybe).append((done | 1 << index, after))
+                    (known if order[index].returned is not None else unknown).append((done | 1 << index, after))
             index += 1
-        stack += maybe + sure   # what nobody knows of is tried last
+        stack += unknown + known   # operations with unknown outcome are tried last
     return False
 
 
 class Holding(NamedTuple):
-    """A stretch in which a process believed, by its own clock, that it held a duty; in the rig's one time."""
+    """An interval in which a process believed, by its own clock, that it held a duty; in the rig's common time."""
 
     duty: str
     who: str
@@ -103,26 +104,26 @@
 
 
 def overlapping_holdings(holdings: Sequence[Holding]) -> list[str]:
-    """Overlaps of different holders, and tokens that do not grow: an empty list if there are none."""
-    told = []
+    """Return texts on overlapping holdings of different holders and on tokens that do not grow; empty: none."""
+    violations = []
     for duty in sorted({holding.duty for holding in holdings}):
         rows = sorted((holding for holding in holdings if holding.duty == duty), key=lambda holding: holding.begin)
         for one, other in itertools.pairwise(rows):
             if other.token < one.token or (other.token == one.token and other.who != one.who):
-                told.append(f"{duty}: token {other.token} of {other.who} after {one.token} of {one.who}")
+                violations.append(f"{duty}: token {other.token} of {other.who} after {one.token} of {one.who}")
             if other.token != one.token and other.begin < one.end:
-                told.append(f"{duty}: {one.who} held it until {one.end}, {other.who} from {other.begin}")
-    return told
+                violations.append(f"{duty}: {one.who} held it until {one.end}, {other.who} from {other.begin}")
+    return violations
 
 
 def stale_token_writes(granted: Sequence[tuple[int, int]], guarded: Sequence[tuple[int, int, str]]) -> list[str]:
-    """Guarded changes that were accepted though a newer token had been given before they were even called.
+    """Return texts on guarded changes that were accepted although a newer token had been granted before the call.
 
-    `granted`: answered at, token; `guarded`: called at, token, whose.
+    `granted`: (time of the response, token); `guarded`: (time of the call, token, holder).
     """
-    told = []
+    violations = []
     for called, token, who in guarded:
-        newer = max((given for at, given in granted if at < called), default=0)
+        newer = max((granted_token for at, granted_token in granted if at < called), default=0)
         if newer > token:
-            told.append(f"guarded change of {who} with token {token} after token {newer} was given")
-    return told
+            violations.append(f"guarded change of {who} with token {token} after token {newer} was given")
+    return violations
--- a/moleworks/rig/listing.py
+++ b/moleworks/rig/listing.py
@@ -1,6 +1,6 @@
-"""The stand-in of the platform's list service: what it knows of hosts, and when.  No I/O, no clock.
+"""Host list of the emulated discovery service.  No I/O, no clock.
 
-It knows only whether a process runs and whether it drains, and knows it late.
+Discovery knows only whether a process runs and whether it drains, and learns of changes with a delay.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 from typing import Any, NamedTuple
 
 READY, DRAINING, GONE = "in_service", "terminating", "terminated"
-KEPT = 4096
-"""Versions whose changes are remembered; a watch from an older one gets the whole list."""
+MAX_CHANGES = 4096
+"""Number of changes that are kept; a watch that resumes from an older generation gets the full list."""
 
 
 class Row(NamedTuple):
-    """A host as the list has it; `started_ns` in the run's time, 0: long ago."""
+    """A host's entry in the list; `started_ns` is in the run's time, 0: before the run."""
 
     host: str
     state: str
@@ -21,16 +21,16 @@
 
 
 class Listing:
-    """Rows with a version that grows by one with each change."""
+    """Rows with a generation that grows by one with each change."""
 
     def __init__(self, hosts: list[str], generation: int = 1) -> None:
         self.generation = generation
         self.rows = {name: Row(name, READY, 0) for name in hosts}
-        self._changes: list[Row] = []   # the change to version `_first + index + 1`
-        self._first = generation
+        self._changes: list[Row] = []   # item `index` is the change to generation `_first_generation + index + 1`
+        self._first_generation = generation
 
     def change(self, host: str, state: str, started_ns: int = 0) -> Row | None:
-        """A host's row; None if that is no change."""
+        """Set the state of a host; return its row, or None if nothing changed."""
         row = Row(host, state, started_ns)
         if state == GONE:
             if self.rows.pop(host, None) is None:
@@ -41,25 +41,25 @@
             self.rows[host] = row
         self.generation += 1
         self._changes.append(row)
-        if len(self._changes) > KEPT:
-            drop = len(self._changes) - KEPT
-            del self._changes[:drop]
-            self._first += drop
+        if len(self._changes) > MAX_CHANGES:
+            excess = len(self._changes) - MAX_CHANGES
+            del self._changes[:excess]
+            self._first_generation += excess
         return row
 
     def since(self, generation: int) -> tuple[bool, list[Row]]:
-        """Whether this is the whole list, and the rows: what changed after a version, else everything."""
-        if not self._first <= generation <= self.generation:
+        """Return whether this is the full list, and the rows: changes after `generation` if still known, else all."""
+        if not self._first_generation <= generation <= self.generation:
             return True, list(self.rows.values())
         last: dict[str, Row] = {}
-        for row in self._changes[generation - self._first:]:
+        for row in self._changes[generation - self._first_generation:]:
             last[row.host] = row
         return False, list(last.values())
 
 
 def line(generation: int, full: bool, rows: list[Row], describe: dict[str, dict[str, Any]],
          epoch_ms: int) -> dict[str, Any]:
-    """The object of PROTOCOL: `describe` has each host's address, zone and cell, `epoch_ms` the run's start."""
+    """Build discovery's JSON object: `describe` has each host's address, zone and cell; `epoch_ms`: the run's start."""
     return {"generation": generation, "reset": full, "instances": [
         {"instanceId": row.host, "lifecycle": row.state, "weight": 1.0,
          "startedAtMs": epoch_ms + row.started_ns // 1_000_000 if row.started_ns else 0, **describe[row.host]}
--- a/moleworks/rig/places.py
+++ b/moleworks/rig/places.py
@@ -1,7 +1,7 @@
-"""Who is in a world, by name, and the patterns by which faults name them.
+"""Names and zones of all hosts and gateways of a world, and the patterns by which faults select them.
 
-A pattern is terms joined by commas; `!` before a term takes away.  A term is `hosts`, `gateways`, `clients`,
-`discovery`, `zone:NAME` (hosts and gateways there) or a name with `*` and `?`.
+A pattern is a comma-separated list of terms; `!` before a term excludes what it matches.  A term is `hosts`,
+`gateways`, `clients`, `discovery`, `zone:NAME` (hosts and gateways of that zone) or a name with `*` and `?`.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 )
 
 CLIENTS, DISCOVERY = "clients", "discovery"
-SHARES = ("errors", "loss", "duplicate", "reorder", "swallow")
+SHARE_FAULTS = ("errors", "loss", "duplicate", "reorder", "swallow")
 
 
 class HostPlace(Struct):
-    """A host of the world."""
+    """Name, zone and cell of a host."""
 
     name: str
     zone: int
@@ -38,14 +38,14 @@
 
 
 class GatewayPlace(Struct):
-    """A gateway of the world."""
+    """Name and zone of a gateway."""
 
     name: str
     zone: int
 
 
 class Places:
-    """All names of a world, and where they are."""
+    """All names of a world with their zones and cells."""
 
     def __init__(self, experiment: Experiment) -> None:
         world = experiment.world
@@ -57,8 +57,8 @@
             first = sum(place.spec.name == group.name for place in self.hosts.values())
             for index in range(group.count):
                 zone = world.zones.index(group.zone) if group.zone else index % len(world.zones)
-                place = members[zone] = members.get(zone, -1) + 1
-                cell = cells.setdefault((zone, place // group.cell_size), len(cells))
+                position = members[zone] = members.get(zone, -1) + 1
+                cell = cells.setdefault((zone, position // group.cell_size), len(cells))
                 name = f"{group.name}{first + index}"
                 self.hosts[name] = HostPlace(name, zone, cell, group)
         self.gateways = {f"n{index}": GatewayPlace(f"n{index}", index % len(world.zones))
@@ -66,21 +66,21 @@
         self._all = [*self.hosts, *self.gateways, CLIENTS, DISCOVERY]
 
     def zone_of(self, name: str) -> int:
-        """The zone of a host or gateway; -1 for what is in none."""
+        """The zone index of a host or gateway; -1 for clients and discovery."""
         place = self.hosts.get(name) or self.gateways.get(name)
         return place.zone if place is not None else -1
 
     def select(self, pattern: str) -> list[str]:
-        """The names that a pattern means, in the world's order."""
-        chosen: set[str] = set()
+        """Return the names that a pattern matches, in the order of the world."""
+        selected: set[str] = set()
         terms = [term.strip() for term in pattern.split(",") if term.strip()]
         if terms and terms[0].startswith("!"):
-            chosen = set(self._all)
+            selected = set(self._all)
         for term in terms:
-            away, term = term.startswith("!"), term.removeprefix("!")
+            exclude, term = term.startswith("!"), term.removeprefix("!")
             names = set(self._term(term))
-            chosen = chosen - names if away else chosen | names
-        return [name for name in self._all if name in chosen]
+            selected = selected - names if exclude else selected | names
+        return [name for name in self._all if name in selected]
 
     def _term(self, term: str) -> list[str]:
         if term == "hosts":
@@ -96,80 +96,80 @@
 
 
 def check(experiment: Experiment, file: str) -> Places:
-    """What the schema can't see: names that must exist.  Raises ConfigError with all faults."""
-    told: list[str] = []
+    """Check what the schema can't express, such as names that must exist.  Raises ConfigError with all errors."""
+    errors: list[str] = []
     world = experiment.world
     for index, group in enumerate(world.hosts):
         if group.zone and group.zone not in world.zones:
-            told.append(f"world.hosts[{index}].zone: no such zone: {group.zone}")
+            errors.append(f"world.hosts[{index}].zone: no such zone: {group.zone}")
         if group.bad_class and group.bad_class not in [item.name for item in world.classes]:
-            told.append(f"world.hosts[{index}].bad_class: no such class: {group.bad_class}")
+            errors.append(f"world.hosts[{index}].bad_class: no such class: {group.bad_class}")
     for what, names in (("zones", world.zones), ("classes", [item.name for item in world.classes])):
         if len(set(names)) < len(names):
-            told.append(f"world.{what}: a name stands twice")
+            errors.append(f"world.{what}: duplicate name")
     if experiment.load.zone_weights and len(experiment.load.zone_weights) != len(world.zones):
-        told.append(f"load.zone_weights: must have {len(world.zones)} numbers, one a zone")
+        errors.append(f"load.zone_weights: must have {len(world.zones)} numbers, one per zone")
     if experiment.warmup_s >= experiment.duration_s:
-        told.append("warmup_s: must be below duration_s")
+        errors.append("warmup_s: must be below duration_s")
     for index, window in enumerate(experiment.hold.windows):
         if window.to_s <= window.from_s:
-            told.append(f"hold.windows[{index}].to_s: must be above from_s")
+            errors.append(f"hold.windows[{index}].to_s: must be above from_s")
     for index, draw in enumerate(experiment.draws):
         if draw.longest_s < draw.least_s:
-            told.append(f"draws[{index}].longest_s: must be at least least_s")
+            errors.append(f"draws[{index}].longest_s: must be at least least_s")
         if draw.to_s <= draw.from_s:
-            told.append(f"draws[{index}].to_s: must be above from_s")
-    if told:
-        raise ConfigError([f"{file}: {line}" for line in told])
+            errors.append(f"draws[{index}].to_s: must be above from_s")
+    if errors:
+        raise ConfigError([f"{file}: {line}" for line in errors])
     places = Places(experiment)
     if len(places.hosts) < sum(group.count for group in world.hosts):
-        raise ConfigError([f"{file}: world.hosts: two hosts of one name"])
+        raise ConfigError([f"{file}: world.hosts: duplicate host name"])
     for index, fault in enumerate(experiment.faults):
-        told += [f"{file}: faults[{index}].{line}" for line in _fault(places, fault, experiment.driver)]
-    if told:
-        raise ConfigError(told)
+        errors += [f"{file}: faults[{index}].{line}" for line in _fault_errors(places, fault, experiment.driver)]
+    if errors:
+        raise ConfigError(errors)
     return places
 
 
-def _wanted(places: Places, kind: str) -> dict[str, HostPlace] | dict[str, GatewayPlace] | None:
-    """What a fault of this kind can befall; None: the links between any two."""
+def _targets(places: Places, kind: str) -> dict[str, HostPlace] | dict[str, GatewayPlace] | None:
+    """Possible targets of a fault of this kind; None: the links between any two places."""
     return places.hosts if kind in HOST_FAULTS else places.gateways if kind in GATEWAY_FAULTS else None
 
 
-def _fault(places: Places, fault: Fault, driver: str) -> list[str]:
-    wanted = _wanted(places, fault.kind)
-    told = []
-    if wanted is not None and not set(places.select(fault.on)) & set(wanted):
-        told.append(f"on: names no {'host' if wanted is places.hosts else 'gateway'}: {fault.on}")
+def _fault_errors(places: Places, fault: Fault, driver: str) -> list[str]:
+    targets = _targets(places, fault.kind)
+    errors = []
+    if targets is not None and not set(places.select(fault.on)) & set(targets):
+        errors.append(f"on: names no {'host' if targets is places.hosts else 'gateway'}: {fault.on}")
     elif fault.kind in LINK_FAULTS + TAMPERING_FAULTS:
-        told += [f"{key}: names nobody: {pattern}" for key, pattern in (("on", fault.on), ("to", fault.to))
-                 if not places.select(pattern)]
-    if fault.kind in (*SHARES, "slow", "delay", "rate") and not fault.size:
-        told.append(f"size: must be above 0 for {fault.kind}")
-    if fault.kind in SHARES and fault.size > 1:
-        told.append(f"size: must be at most 1 for {fault.kind}")
+        errors += [f"{key}: matches no place: {pattern}" for key, pattern in (("on", fault.on), ("to", fault.to))
+                   if not places.select(pattern)]
+    if fault.kind in (*SHARE_FAULTS, "slow", "delay", "rate") and not fault.size:
+        errors.append(f"size: must be above 0 for {fault.kind}")
+    if fault.kind in SHARE_FAULTS and fault.size > 1:
+        errors.append(f"size: must be at most 1 for {fault.kind}")
     if driver == "virtual" and fault.kind in ("misroute", "replay", "swallow", "hup"):
-        told.append(f"kind: {fault.kind} is for the real driver only")
-    return told
+        errors.append(f"kind: {fault.kind} is for the real driver only")
+    return errors
 
 
 def timeline(experiment: Experiment, places: Places) -> list[Fault]:
-    """All faults in the order of their times, those at random drawn from the seed alone."""
+    """Return all faults in order of time; random ones are drawn from the seed alone."""
     rng = random.Random(f"faults {experiment.seed}")
     faults = []
     for fault in experiment.faults:
         if fault.most:
-            wanted = _wanted(places, fault.kind)
-            names = [name for name in places.select(fault.on) if wanted is None or name in wanted]
-            picked = rng.sample(names, min(fault.most, len(names)))
-            faults += [msgspec.structs.replace(fault, on=name, most=0) for name in picked]
+            targets = _targets(places, fault.kind)
+            names = [name for name in places.select(fault.on) if targets is None or name in targets]
+            sampled = rng.sample(names, min(fault.most, len(names)))
+            faults += [msgspec.structs.replace(fault, on=name, most=0) for name in sampled]
         else:
             faults.append(fault)
     for draw in experiment.draws:
         for _ in range(draw.count):
             kind = rng.choice(draw.kinds)
-            wanted = _wanted(places, kind)
-            names = [name for name in places.select(draw.on) if wanted is None or name in wanted]
+            targets = _targets(places, kind)
+            names = [name for name in places.select(draw.on) if targets is None or name in targets]
             others = places.select(draw.to)
             faults.append(Fault(kind, round(rng.uniform(draw.from_s, draw.to_s), 3),
                                 round(rng.uniform(draw.least_s, draw.longest_s), 3),
--- a/moleworks/rig/report.py
+++ b/moleworks/rig/report.py
@@ -1,4 +1,4 @@
-"""What a run leaves for people: one HTML file with plots, beside CSV and JSON of the same figures."""
+"""Reports of runs: one HTML file with plots, and the same figures as CSV and JSON."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from matplotlib import pyplot
 
 matplotlib.use("svg")
-matplotlib.rcParams["svg.hashsalt"] = "moleworks"   # the same run draws the same bytes
+matplotlib.rcParams["svg.hashsalt"] = "moleworks"   # the same run gives the same bytes
 
 COLUMNS = ("asked", "served", "in_time", "refused", "failed", "cut", "unreachable")
 STYLE = """body{font:15px/1.5 system-ui,sans-serif;max-width:60rem;margin:2rem auto;padding:0 1rem;color:#222}
@@ -26,15 +26,15 @@
 
 
 def write_csv(path: Path, rows: Iterable[dict[str, Any]], columns: Iterable[str]) -> None:
-    """Rows as CSV."""
+    """Write rows as CSV."""
     with open(path, "w", newline="") as file:
         writer = csv.DictWriter(file, list(columns), extrasaction="ignore", lineterminator="\n")
         writer.writeheader()
         writer.writerows(rows)
 
 
-def picture(figure: Any) -> str:
-    """A figure as an image inside the page."""
+def inline_image(figure: Any) -> str:
+    """Return a figure as an inline image."""
     buffer = io.BytesIO()
     figure.savefig(buffer, format="svg", metadata={"Date": None})
     pyplot.close(figure)
@@ -42,32 +42,32 @@
 
 
 def table(rows: Iterable[tuple[Any, ...]], head: tuple[str, ...] = ()) -> str:
-    """An HTML table."""
+    """Return an HTML table."""
     text = "".join("<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows)
     top = "<tr>" + "".join(f"<th>{html.escape(cell)}</th>" for cell in head) + "</tr>" if head else ""
     return f"<table>{top}{text}</table>"
 
 
 def page(title: str, *parts: str) -> str:
-    """One HTML file, with nothing from elsewhere."""
+    """Return one self-contained HTML file."""
     return (f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(title)}</title>"
             f"<style>{STYLE}</style><h1>{html.escape(title)}</h1>{''.join(parts)}</html>\n")
 
 
 def _spans(faults: list[dict[str, Any]], end: float) -> list[tuple[float, float, str]]:
-    """When each fault was there, s."""
-    open_: dict[int, dict[str, Any]] = {}
+    """Return the start and end in s, and the label, of each fault."""
+    ongoing: dict[int, dict[str, Any]] = {}
     spans = []
     for fault in faults:
         if fault["what"] == "begin":
-            open_[fault["i"]] = fault
-        elif (begun := open_.pop(fault["i"], None)) is not None:
-            spans.append((begun["t"] / 1e9, fault["t"] / 1e9, f"{fault['kind']} {fault['on']}"))
-    return spans + [(fault["t"] / 1e9, end, f"{fault['kind']} {fault['on']}") for fault in open_.values()]
+            ongoing[fault["i"]] = fault
+        elif (started := ongoing.pop(fault["i"], None)) is not None:
+            spans.append((started["t"] / 1e9, fault["t"] / 1e9, f"{fault['kind']} {fault['on']}"))
+    return spans + [(fault["t"] / 1e9, end, f"{fault['kind']} {fault['on']}") for fault in ongoing.values()]
 
 
 def table_report(out: Path, title: str, rows: list[dict[str, Any]]) -> None:
-    """`report.html`, `table.csv` and `table.json` of many runs: figures against what was varied, or bars."""
+    """Write `report.html`, `table.csv` and `table.json` of many runs, with figures against the varied parameters."""
     columns = list(dict.fromkeys(name for row in rows for name in row))
     write_csv(out / "table.csv", rows, columns)
     (out / "table.json").write_text(json.dumps(rows, indent=1) + "\n")
@@ -81,7 +81,7 @@
             axes.plot([row[name] for row in rows], [row[what] for row in rows], ".", label=what, alpha=0.6)
         axes.set_xlabel(name)
         axes.legend()
-        plots.append(picture(figure))
+        plots.append(inline_image(figure))
     if not varied and "in_time" in numbers:
         figure, axes = pyplot.subplots(figsize=(9, 3.2))
         if "difference" in columns:
@@ -90,7 +90,7 @@
         else:
             axes.hist([row["in_time"] for row in rows], bins=30)
             axes.set_xlabel("in_time")
-        plots.append(picture(figure))
+        plots.append(inline_image(figure))
     body = table([tuple(row.get(name, "") for name in columns) for row in rows[:2000]], tuple(columns))
     (out / "report.html").write_text(page(title, f"<p>{len(rows)} rows; all of them in <code>table.csv</code></p>",
                                           *plots, body))
@@ -98,34 +98,34 @@
 
 def run_report(out: Path, title: str, replay: str, result: dict[str, Any],
                seconds: dict[int, Counter[str]]) -> None:
-    """`report.html` and `seconds.csv` of one run."""
+    """Write `report.html` and `seconds.csv` of one run."""
     rows = [{"second": second, **seconds[second]} for second in sorted(seconds)]
     for row in rows:
         for column in COLUMNS:
             row.setdefault(column, 0)
     write_csv(out / "seconds.csv", rows, ("second", *COLUMNS))
-    figure, (top, low) = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
+    figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
     times = [row["second"] for row in rows]
-    top.step(times, [row["in_time"] / max(1, row["asked"]) for row in rows], where="post", label="in time")
-    top.step(times, [row["served"] / max(1, row["asked"]) for row in rows], where="post", label="served", alpha=0.6)
-    top.set_ylim(0, 1.05)
-    top.set_ylabel("share of first tries")
+    upper.step(times, [row["in_time"] / max(1, row["asked"]) for row in rows], where="post", label="in time")
+    upper.step(times, [row["served"] / max(1, row["asked"]) for row in rows], where="post", label="served", alpha=0.6)
+    upper.set_ylim(0, 1.05)
+    upper.set_ylabel("share of first tries")
     for name in ("asked", "refused", "failed", "unreachable"):
-        low.step(times, [row[name] for row in rows], where="post", label=name)
-    low.set_ylabel("a second")
-    low.set_xlabel("s")
-    for begin, end, words in _spans(result["faults"], times[-1] + 1 if times else 0)[:40]:
-        for axes in (top, low):
+        lower.step(times, [row[name] for row in rows], where="post", label=name)
+    lower.set_ylabel("a second")
+    lower.set_xlabel("s")
+    for begin, end, label in _spans(result["faults"], times[-1] + 1 if times else 0)[:40]:
+        for axes in (upper, lower):
             axes.axvspan(begin, end, alpha=0.12, color="tab:red")
-        top.annotate(words, (begin, 0.02), fontsize=7, rotation=90, va="bottom")
-    for axes in (top, low):
+        upper.annotate(label, (begin, 0.02), fontsize=7, rotation=90, va="bottom")
+    for axes in (upper, lower):
         axes.legend(loc="lower right", fontsize=8)
     figure.tight_layout()
     verdict = result["verdict"]
     broken = "".join(f"<li>{html.escape(text)}</li>" for text in result["broken"])
     (out / "report.html").write_text(page(
         title, f"<p>Verdict: <b class={verdict}>{verdict}</b>. Played again by <code>{html.escape(replay)}</code></p>",
-        f"<ul>{broken}</ul>" if broken else "", picture(figure),
+        f"<ul>{broken}</ul>" if broken else "", inline_image(figure),
         table(result["figures"].items(), ("figure", "")),
         table([(f"{fault['t'] / 1e9:.3f}", fault["what"], fault["kind"], fault["on"], fault["to"])
                for fault in result["faults"]], ("s", "", "fault", "on", "to")),
@@ -134,32 +134,32 @@
 
 
 def store_report(out: Path, result: dict[str, Any]) -> None:
-    """`report.html` of a run with members of the store: who held the duty when, and how long writes took."""
+    """Write `report.html` of a run on the store: who held the duty when, and how long writes took."""
     with open(out / "history.jsonl", "rb") as file:
         lines = [json.loads(line) for line in file]
-    figure, (top, low) = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
+    figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 5), sharex=True)
     for line in lines:
         if line["e"] == "act" and not line["late"]:
-            top.plot([line["t"] / 1e9, max(line["t"], line["end"]) / 1e9], [line["who"]] * 2, color="tab:blue")
+            upper.plot([line["t"] / 1e9, max(line["t"], line["end"]) / 1e9], [line["who"]] * 2, color="tab:blue")
     writes = [line for line in lines if line["e"] == "op" and line["kind"] != "get"]
-    low.plot([line["t"] / 1e9 for line in writes if line["end"] >= 0],
+    lower.plot([line["t"] / 1e9 for line in writes if line["end"] >= 0],
              [(line["end"] - line["t"]) / 1e6 for line in writes if line["end"] >= 0], ".", label="answered")
-    low.plot([line["t"] / 1e9 for line in writes if line["end"] < 0],
+    lower.plot([line["t"] / 1e9 for line in writes if line["end"] < 0],
              [1.0 for line in writes if line["end"] < 0], "x", label="no answer")
-    low.set_yscale("log")
-    low.set_ylabel("write, ms")
-    low.set_xlabel("s")
-    low.legend(loc="lower right", fontsize=8)
-    for begin, end, words in _spans(result["faults"], max((line["t"] for line in lines), default=0) / 1e9)[:40]:
-        for axes in (top, low):
+    lower.set_yscale("log")
+    lower.set_ylabel("write, ms")
+    lower.set_xlabel("s")
+    lower.legend(loc="lower right", fontsize=8)
+    for begin, end, label in _spans(result["faults"], max((line["t"] for line in lines), default=0) / 1e9)[:40]:
+        for axes in (upper, lower):
             axes.axvspan(begin, max(end, begin + 0.02), alpha=0.12, color="tab:red")
-        low.annotate(words, (begin, 1.0), fontsize=7, rotation=90, va="bottom")
+        lower.annotate(label, (begin, 1.0), fontsize=7, rotation=90, va="bottom")
     figure.tight_layout()
     verdict = result["verdict"]
     (out / "report.html").write_text(page(
         result["title"], f"<p>Verdict: <b class={verdict}>{verdict}</b>. Played again by "
         f"<code>{html.escape(result['replay'])}</code></p>",
-        "".join(f"<li>{html.escape(text)}</li>" for text in result["broken"]), picture(figure),
+        "".join(f"<li>{html.escape(text)}</li>" for text in result["broken"]), inline_image(figure),
         table(result["figures"].items(), ("figure", "")),
         table([(f"{fault['t'] / 1e9:.3f}", fault["what"], fault["kind"], fault["on"]) for fault in result["faults"]],
               ("s", "", "fault", "on"))))
--- a/moleworks/rig/runner.py
+++ b/moleworks/rig/runner.py
@@ -1,4 +1,4 @@
-"""One run from file to verdict: drive, judge, report."""
+"""Plays one experiment: loads its file, drives the run, judges the history and writes the report."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def load(path: str, seed: int | None = None) -> tuple[spec.Experiment, places.Places]:
-    """An experiment and its places.  Raises ConfigError."""
+    """Load an experiment for the virtual or real driver, and its places.  Raises ConfigError."""
     experiment = config.load(path, spec.Experiment)
     if seed is not None:
         experiment.seed = seed
@@ -25,7 +25,7 @@
 
 
 def load_any(path: str, seed: int | None = None) -> spec.Experiment | store_spec.StoreExperiment:
-    """An experiment of any driver.  Raises ConfigError."""
+    """Load an experiment for any driver.  Raises ConfigError."""
     if config.read(path).get("driver") != "members":
         return load(path, seed)[0]
     experiment = config.load(path, store_spec.StoreExperiment)
@@ -35,33 +35,34 @@
 
 
 def prepare(out: Path) -> None:
-    """The folder for a run's files.  Raises ConfigError where it can't be made."""
+    """Create the folder for a run's files.  Raises ConfigError if that fails."""
     try:
         out.mkdir(parents=True, exist_ok=True)
         for name in ("result.json", "report.html", "history.jsonl"):
-            (out / name).unlink(missing_ok=True)   # nothing of an earlier run is taken for this one's
+            (out / name).unlink(missing_ok=True)   # files of an earlier run must not be taken for this run's
     except OSError as error:
         raise config.ConfigError([f"{out}: {error.strerror or error}"]) from None
 
 
-def virtual(experiment: spec.Experiment, world: places.Places, out: Path, make: Any = None) -> None:
-    """Play it in virtual time; `make` stands in for the decision module."""
+def virtual(experiment: spec.Experiment, world: places.Places, out: Path, make_decisions: Any = None) -> None:
+    """Play an experiment in virtual time; `make_decisions` replaces the constructor of the decision module."""
     from bridgesaddle import Balancer
 
     from .virtual.fleet import Fleet
     thresholds = gc.get_threshold()
-    gc.set_threshold(100_000, 50, 1000)   # nearly all that is made ends with its request, without cycles
+    gc.set_threshold(100_000, 50, 1000)   # nearly all objects are freed with their request, without cycles
     try:
-        Fleet(experiment, world, out, make or Balancer).run()
+        Fleet(experiment, world, out, make_decisions or Balancer).run()
     finally:
         gc.set_threshold(*thresholds)
 
 
 def conclude(experiment: spec.Experiment, out: Path, replay: str, report: bool = True,
              notes: list[dict[str, Any]] | None = None, trouble: str = "") -> dict[str, Any]:
-    """Judge the history in `out` and write `result.json`, `report.html` and `seconds.csv` beside it.
+    """Judge the history in `out` and write `result.json`, `report.html` and `seconds.csv` next to it.
 
-    `trouble` is what kept the run from being one: then it is broken, whatever the history holds.
+    `trouble` is the reason for which the run could not be carried out: the verdict is then "broken", whatever the
+    history contains.
     """
     hold = msgspec.to_builtins(experiment.hold)
     result, seconds = judge.judge(out / "history.jsonl", hold)
@@ -78,7 +79,7 @@
 
 
 def run(path: str, out: Path, seed: int | None = None, report: bool = True) -> dict[str, Any]:
-    """Play a file and return its result."""
+    """Play an experiment file and return its result."""
     store = load_any(path, seed)
     if isinstance(store, store_spec.StoreExperiment):
         return run_store(store, path, out)
@@ -99,18 +100,18 @@
 
 
 def run_store(experiment: store_spec.StoreExperiment, path: str, out: Path) -> dict[str, Any]:
-    """The same for members of the store."""
+    """The same as `run` for an experiment on the store."""
     from .real import members
     from .real.procs import Trouble
     from .report import store_report
     prepare(out)
     replay = f"moleworks rig run {shlex.quote(path)} --seed {experiment.seed} --out {shlex.quote(str(out))}"
     try:
-        told = members.play(experiment, out)
+        judged = members.play(experiment, out)
     except Trouble as error:
         (out / "history.jsonl").touch()
-        told = {"verdict": "broken", "figures": {}, "faults": [], "broken": [f"trouble: {error}"]}
-    result = {**told, "seed": experiment.seed, "title": experiment.title, "driver": "members", "notes": [],
+        judged = {"verdict": "broken", "figures": {}, "faults": [], "broken": [f"trouble: {error}"]}
+    result = {**judged, "seed": experiment.seed, "title": experiment.title, "driver": "members", "notes": [],
               "replay": replay}
     (out / "result.json").write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=2) + b"\n")
     store_report(out, result)
--- a/moleworks/rig/settings.py
+++ b/moleworks/rig/settings.py
@@ -1,6 +1,6 @@
-"""The settings that a gateway of a world is told, in the form of the platform's configuration.
+"""Builds the settings of a gateway in the form of the platform's configuration.
 
-Names and units are those of the platform's wire page; both drivers read them through `parse_settings`.
+Names and units are those of the platform's wire format; both drivers read them with `parse_settings`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     return round(ms * 1e6)
 
 
-def _class(item: Class) -> dict[str, Any]:
+def _class_settings(item: Class) -> dict[str, Any]:
     return {"name": item.name, "credit": item.worth, "late-value": item.late_worth,
             "slo-ns": _ns(item.aim_ms),
             "give-up-ns": _ns(item.deadline_ms), "effect": _EFFECTS[item.effect], "group": item.group,
@@ -26,7 +26,7 @@
 
 
 def settings(experiment: Experiment, places: Places, number: int) -> dict[str, Any]:
-    """The settings of gateway `number`."""
+    """Return the settings of gateway `number`."""
     world = experiment.world
     hosts = [place.spec for place in places.hosts.values()]
     return {
@@ -47,7 +47,7 @@
         "load-report": {"columns": ["backlog", "recent_ms"], "source": "inline"},
         "goal": {"whole": 0.55, "worst-window": 0.15, "worst-class": 0.3, "worst-tenant": 0.0},
         "prices": {"cross-zone": 0.085, "waste": 0.036, "probe": 0.015, "late-fail": 0.021},
-        "request-classes": [_class(item) for item in world.classes],
+        "request-classes": [_class_settings(item) for item in world.classes],
         "callers": {"marks-retry": False}, "realms": [], "weights": "off", "value-by": "request",
         "over-share-worth": 0.1, "family": "proxy", "family-info": {"warm-keys": False},
     }
--- a/moleworks/rig/store_history.py
+++ b/moleworks/rig/store_history.py
@@ -1,4 +1,4 @@
-"""The lines of a store experiment's history, beside `fault` of history.py.  Times in ns since the run's start."""
+"""Lines of the history of a store experiment, in addition to `fault` of history.py.  Times in ns since the start."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class StoreRun(Struct, tag_field="e", tag="store"):
-    """The first line."""
+    """The first line: the experiment's processes and limits."""
 
     t: int
     seed: int
     members: list[str]
     keepers: list[str]
     ttl: int
-    end: int            # of the load
+    end: int            # end of the load
     services: list[str] = []
-    bound: float = 0.0  # of a list's age, ms
+    bound: float = 0.0  # maximum age of a list, ms
     host_ttl: float = 0.0
     records: bool = True
     v: int = 1
 
 
 class Operation(Struct, tag_field="e", tag="op"):
-    """A writer's: `get`, `put` or `cas`; `end` -1: it had no answer.  `arg` of a cas is what it expected and wanted."""
+    """An operation of a writer: `get`, `put` or `cas`; `end` -1: no response; `arg` of cas: [expected, new]."""
 
     t: int
     end: int
@@ -35,7 +35,7 @@
 
 
 class Event(Struct, tag_field="e", tag="event"):
-    """The watcher was told of a change."""
+    """The watcher has received a change."""
 
     t: int
     rev: int
@@ -44,7 +44,7 @@
 
 
 class Granted(Struct, tag_field="e", tag="grant"):
-    """A keeper has been answered that it holds the duty; `until` by its own clock."""
+    """A keeper has received the duty; `until` is by its own clock."""
 
     t: int
     who: str
@@ -53,21 +53,21 @@
 
 
 class Act(Struct, tag_field="e", tag="act"):
-    """A keeper looked whether it holds the duty, and did: what it did under its token, and until when it held."""
+    """A keeper checked that it held the duty, and acted under its token; `until`: when its grant expires."""
 
-    t: int              # when it looked
+    t: int              # time of the check
     sent: int
-    end: int            # -1: no answer
+    end: int            # -1: no response
     who: str
     token: int
     until: int
     done: bool
     why: str
-    late: bool          # it knew that it held nothing any more, and went on all the same
+    late: bool          # the grant had expired and the keeper knew it, but acted nevertheless
 
 
 class GrantReleased(Struct, tag_field="e", tag="let"):
-    """A keeper acts no longer under a token."""
+    """A keeper has stopped acting under a token."""
 
     t: int
     who: str
@@ -76,7 +76,7 @@
 
 
 class ProcessEvent(Struct, tag_field="e", tag="process"):
-    """A process has been started, killed, or has ended by itself with its last words."""
+    """A process has been started or killed, or has ended by itself; `why`: its last output."""
 
     t: int
     who: str
@@ -85,7 +85,7 @@
 
 
 class Calm(Struct, tag_field="e", tag="calm"):
-    """Whether the store answered once all faults were over."""
+    """Whether the store answered after all faults had ended."""
 
     t: int
     answered: bool
@@ -95,7 +95,7 @@
 
 
 class WatcherUpdate(Struct, tag_field="e", tag="told"):
-    """A watcher has taken a line; rows are name, lifecycle, address.  `size`: hosts that it has now."""
+    """A watcher has accepted an update; rows are (name, lifecycle, address).  `size`: hosts in its list now."""
 
     t: int
     w: int
@@ -106,7 +106,7 @@
 
 
 class Refusal(Struct, tag_field="e", tag="refusal"):
-    """A watcher has refused a line."""
+    """A watcher has rejected an update."""
 
     t: int
     w: int
@@ -114,7 +114,7 @@
 
 
 class Read(Struct, tag_field="e", tag="read"):
-    """A whole list was asked for at `t`; `age` in ms as told, or the status less than 0; `end` -1: no answer."""
+    """A full list was requested at `t`; `age`: as reported, ms; below 0: the negated status; `end` -1: no response."""
 
     t: int
     end: int
@@ -125,7 +125,7 @@
 
 
 class Written(Struct, tag_field="e", tag="written"):
-    """The operator's changes, all in one version; `end` -1: no answer, and nobody knows."""
+    """Changes of the operator, all in one version; `end` -1: no response, so the outcome is unknown."""
 
     t: int
     end: int
@@ -135,7 +135,7 @@
 
 
 class HostLife(Struct, tag_field="e", tag="host"):
-    """A host's process: start, dead, replaced."""
+    """An event of a host's process: start, dead or replaced."""
 
     t: int
     who: str
@@ -143,7 +143,7 @@
 
 
 class Truth(Struct, tag_field="e", tag="truth"):
-    """What the store's own watch told at the end of the run, from the first revision on; no row: removed."""
+    """A change read from the store's own watch at the end of the run, from the first revision on; no row: removed."""
 
     t: int
     rev: int
@@ -152,7 +152,7 @@
 
 
 class Usage(Struct, tag_field="e", tag="usage"):
-    """What a process of the list service has used so far: processor time, s, and memory now, MB."""
+    """Resource usage of a list service process: CPU time so far, s, and current memory, MB."""
 
     t: int
     who: str
--- a/moleworks/rig/sweep.py
+++ b/moleworks/rig/sweep.py
@@ -1,4 +1,4 @@
-"""Many runs on all cores: parameters times seeds, results in SQLite, taken up again where it was stopped."""
+"""Plays many runs in parallel: parameters times seeds.  Results are kept in SQLite, so a stopped sweep can resume."""
 
 from __future__ import annotations
 
@@ -29,29 +29,29 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 ONE_THREAD = {"OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1"}
-"""A run is one thread: numpy's own would only spin beside it."""
-MOST_RUNS = 1_000_000
-RUN_S = 1800.0
-"""A run that takes longer is ended and counts as an error."""
+"""A run uses one thread: threads of numpy's libraries would only busy-wait on other cores."""
+MAX_RUNS = 1_000_000
+RUN_TIMEOUT_S = 1800.0
+"""A run that takes longer is killed and counts as an error."""
 TABLE = """create table if not exists runs (experiment text, version text, params text, seed integer, verdict text,
  result text, primary key (experiment, version, params, seed))"""
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One run: an experiment with its parameters put in, a seed, and who decides."""
+    """One run: an experiment with its parameters applied, a seed, and the version or policy that decides."""
 
     file: str
     digest: str
-    params: str                 # JSON of what was set
+    params: str                 # JSON of the parameters that were set
     seed: int
     raw: bytes                  # the experiment, JSON
     version: str = "worktree"
     policy: str = "module"
-    path: str = ""              # a folder whose `bridgesaddle` (or, real, whole program) is played
+    path: str = ""              # folder whose `bridgesaddle` (real driver: complete program) is played
 
 
-def put(raw: dict[str, Any], path: str, value: Any) -> None:
-    """Set a value by its path, such as `load.rps` or `world.hosts[0].count`.  Raises ConfigError."""
+def set_value(raw: dict[str, Any], path: str, value: Any) -> None:
+    """Set the value at a path such as `load.rps` or `world.hosts[0].count`.  Raises ConfigError."""
     keys: list[str | int] = []
     for word in path.replace("]", "").split("."):
         name, *numbers = word.split("[")
@@ -85,34 +85,34 @@
             seeds += range(int(first), int(last or first) + 1)
     except ValueError:
         raise config.ConfigError([f"--seeds {text}: must be numbers and ranges, such as 1-20,33"]) from None
-    if not seeds or len(seeds) > MOST_RUNS:
-        raise config.ConfigError([f"--seeds {text}: must name 1 to {MOST_RUNS} seeds"])
+    if not seeds or len(seeds) > MAX_RUNS:
+        raise config.ConfigError([f"--seeds {text}: must name 1 to {MAX_RUNS} seeds"])
     return seeds
 
 
 def jobs(file: str, sets: list[str], seeds: list[int]) -> list[Job]:
-    """Every combination, each checked as a whole.  Raises ConfigError."""
+    """Return a job for every combination of values and seeds, each checked.  Raises ConfigError."""
     raw = config.read(file)
     digest = hashlib.sha256(json.dumps(raw, sort_keys=True).encode()).hexdigest()[:16]
     axes = [parse_set(text) for text in sets]
     planned: list[Job] = []
     for values in itertools.product(*(values for _, values in axes)):
-        told = json.loads(json.dumps(raw))
+        variant = json.loads(json.dumps(raw))
         params = {}
         for (path, _), value in zip(axes, values, strict=True):
-            put(told, path, value)
+            set_value(variant, path, value)
             params[path] = value
-        experiment = config.check(told, spec.Experiment, file)
+        experiment = config.check(variant, spec.Experiment, file)
         places.check(experiment, file)
         for seed in seeds:
             experiment.seed = seed
-            told_as = json.dumps(params, sort_keys=True)
-            planned.append(Job(file, digest, told_as, seed, msgspec.json.encode(experiment)))
+            params_json = json.dumps(params, sort_keys=True)
+            planned.append(Job(file, digest, params_json, seed, msgspec.json.encode(experiment)))
     return planned
 
 
 class Results:
-    """The table of what has been played."""
+    """The table of completed runs."""
 
     def __init__(self, path: Path) -> None:
         try:
@@ -123,49 +123,49 @@
         self._lock = threading.Lock()
 
     def done(self, job: Job) -> dict[str, Any] | None:
-        """The result of a run that is there already."""
+        """Return the stored result of a run, or None."""
         row = self._db.execute("select result from runs where experiment=? and version=? and params=? and seed=?",
                                (job.digest, job.version, job.params, job.seed)).fetchone()
         return None if row is None else json.loads(row[0])
 
     def add(self, job: Job, result: dict[str, Any]) -> None:
-        """One more."""
+        """Store a result."""
         with self._lock:
             self._db.execute("insert or replace into runs values (?,?,?,?,?,?)",
                              (job.digest, job.version, job.params, job.seed, result["verdict"], json.dumps(result)))
             self._db.commit()
 
     def rows(self) -> list[dict[str, Any]]:
-        """Everything, flat: parameters and figures side by side."""
+        """Return all runs as flat rows of parameters and figures."""
         found = self._db.execute("select version, params, seed, verdict, result from runs order by 1, 2, 3")
         return [{"version": version, **json.loads(params), "seed": seed, "verdict": verdict,
                  **json.loads(result).get("figures", {})} for version, params, seed, verdict, result in found]
 
     def close(self) -> None:
-        """The end."""
+        """Close the database."""
         self._db.close()
 
 
 def play(job: Job, keep: Path | None) -> dict[str, Any]:
-    """One run in a process of its own.  Its files are kept in `keep` if it broke and there is such a folder."""
+    """Play one run in a separate process.  If its verdict is not "held" and `keep` is given, copy its files there."""
     replay = f"moleworks rig run {job.file} --seed {job.seed}" + "".join(
         f" # {path}={value}" for path, value in json.loads(job.params).items())
     with tempfile.TemporaryDirectory(prefix="moleworks-sweep-") as folder:
-        told = json.dumps({"experiment": json.loads(job.raw), "file": job.file, "out": folder, "policy": job.policy,
+        job_json = json.dumps({"experiment": json.loads(job.raw), "file": job.file, "out": folder, "policy": job.policy,
                            "root": job.path, "replay": replay})
         path = os.pathsep.join(filter(None, [job.path, str(ROOT)]))
         process = subprocess.Popen(
-            [sys.executable, "-B", "-m", "moleworks.rig.worker", told], stdout=subprocess.PIPE,
+            [sys.executable, "-B", "-m", "moleworks.rig.worker", job_json], stdout=subprocess.PIPE,
             stderr=subprocess.PIPE, text=True, env={**os.environ, **ONE_THREAD, "PYTHONPATH": path}, cwd=folder)
         try:
-            out, err = process.communicate(timeout=RUN_S)
+            out, err = process.communicate(timeout=RUN_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
             out, err = process.communicate()
-            err += f"\nended after {RUN_S:g} s"
+            err += f"\nended after {RUN_TIMEOUT_S:g} s"
         if process.returncode != 0:
-            words = err.strip().splitlines()
-            return {"verdict": "error", "figures": {}, "broken": words[-1:], "seed": job.seed}
+            error_lines = err.strip().splitlines()
+            return {"verdict": "error", "figures": {}, "broken": error_lines[-1:], "seed": job.seed}
         result: dict[str, Any] = json.loads(out.strip().splitlines()[-1])
         if keep is not None and result["verdict"] != "held":
             target = keep / f"{Path(job.file).stem}-{job.version}-{job.seed}-{abs(hash(job.params)) % 10**6}"
@@ -176,19 +176,19 @@
 
 def run(planned: list[Job], results: Results, workers: int, keep: Path | None = None,
         quiet: bool = False) -> Iterator[tuple[Job, dict[str, Any]]]:
-    """Play what is not there yet on this many cores; everything comes out, old results first."""
-    todo = []
+    """Play the missing runs in `workers` processes; yield all results, stored ones first."""
+    missing = []
     for job in planned:
         found = results.done(job)
         if found is None:
-            todo.append(job)
+            missing.append(job)
         else:
             yield job, found
     progress = Progress(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(),
                         console=Console(stderr=True), disable=quiet)
     with progress, ThreadPoolExecutor(workers) as pool:
-        task = progress.add_task("runs", total=len(todo))
-        futures = {pool.submit(play, job, keep): job for job in todo}
+        task = progress.add_task("runs", total=len(missing))
+        futures = {pool.submit(play, job, keep): job for job in missing}
         try:
             for future in as_completed(futures):
                 job, result = futures[future], future.result()
--- a/moleworks/rig/world.py
+++ b/moleworks/rig/world.py
@@ -1,4 +1,4 @@
-"""The first line of a history: who is there and by which figures it is judged."""
+"""The first line of a history: the hosts, gateways and classes, and the limits for the judge."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def world_line(experiment: Experiment, places: Places, driver: str) -> history.World:
-    """The first line of a history."""
+    """Build the first line of a history."""
     world = experiment.world
     return history.World(
         0, driver, int(experiment.duration_s * 1e9), int(experiment.warmup_s * 1e9),
