--- a/tests/test_rig_judge.py
+++ b/tests/test_rig_judge.py
@@ -1,4 +1,4 @@
-"""The judge on histories written by hand, good and bad: it must find each breach, and none where there is none."""
+"""The judge finds each violation in hand-written histories, and none in valid ones."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 SERVED = [ask(0), begin(1, "a", 7), end(40, "a", 7, "served"), answer(41, "served", 7)]
-HELD = {
+VALID = {
     "served": SERVED,
     "refused": [ask(0), answer(5, "refused")],
     "failed, tried twice in its zone": [
@@ -77,16 +77,16 @@
         answer(902, "served", 7)],
     "back in the list": [listed(0, ("a", "terminated")), listed(500, ("a", "in_service")), ask(600),
                          begin(601, "a", 7), end(602, "a", 7, "served"), answer(603, "served", 7)],
-    "given up in time, seen late by the host": [
+    "cancelled in time, arrived late at the host": [
         ask(0), left(0, "b", 6), begin(200, "b", 8), begin(300, "a", 7, s=1 * MS, x=150 * MS),
         end(301, "a", 7, "served"), end(320, "b", 8, "served"), answer(321, "served", 8)],
 }
-BROKEN = {
+VIOLATIONS = {
     "1 lost": {
         "never answered": [ask(0), answer(1300, "none")],
-        "no word at all": [ask(0)],
+        "no response recorded": [ask(0)],
         "cut off by a living gateway": [ask(0), answer(40, "cut")],
-        "served by nobody": [ask(0), answer(41, "served", 99)],
+        "served without a host": [ask(0), answer(41, "served", 99)],
         "served by what was made for another": [
             *SERVED, ask(50, rid=2), begin(51, "a", 8, 2), end(60, "a", 8, "error"), answer(70, "served", 7, 2)],
         "served though the host failed": [ask(0), begin(1, "a", 7), end(40, "a", 7, "error"), answer(41, "served", 7)],
@@ -104,11 +104,11 @@
         "refused though it may have run": [ask(0, 1), begin(1, "a", 7), left(100, "a", 7), answer(101, "refused")],
         "four attempts": [ask(0), *(line for key in range(4) for line in (
             begin(key * 10, "a", key + 1), end(key * 10 + 5, "a", key + 1, "error"))), answer(60, "failed")],
-        "of nobody's": [*SERVED, begin(50, "a", 9, 44), end(60, "a", 9, "served")]},
+        "of an unknown request": [*SERVED, begin(50, "a", 9, 44), end(60, "a", 9, "served")]},
     "3 drains": {
         "after the grace": [listed(0, ("a", "terminating")), ask(600), begin(601, "a", 7),
                             end(640, "a", 7, "served"), answer(641, "served", 7)],
-        "left out of a whole list": [listed(0, ("b", "in_service"), full=True), ask(600), begin(601, "a", 7),
+        "missing from a full list": [listed(0, ("b", "in_service"), full=True), ask(600), begin(601, "a", 7),
                                      end(640, "a", 7, "served"), answer(641, "served", 7)],
         "never named": [ask(0), begin(1, "x", 7), end(40, "x", 7, "served"), answer(41, "served", 7)]},
     "4 topples": {"one": [*SERVED, host(50, "a", "topple")]},
@@ -119,19 +119,19 @@
     return judge_lines([WORLD, LISTED, *sorted(lines, key=lambda line: line["t"])], hold or {})[0]
 
 
-@pytest.mark.parametrize("name", HELD)
-def test_what_keeps_the_rules_is_held(name: str) -> None:
-    assert verdict(HELD[name])["broken"] == []
+@pytest.mark.parametrize("name", VALID)
+def test_a_valid_history_passes(name: str) -> None:
+    assert verdict(VALID[name])["broken"] == []
 
 
-@pytest.mark.parametrize(("rule", "name"), [(rule, name) for rule, cases in BROKEN.items() for name in cases])
-def test_each_breach_is_found_under_its_rule(rule: str, name: str) -> None:
-    result = verdict(BROKEN[rule][name])
+@pytest.mark.parametrize(("rule", "name"), [(rule, name) for rule, cases in VIOLATIONS.items() for name in cases])
+def test_each_violation_is_reported_under_its_rule(rule: str, name: str) -> None:
+    result = verdict(VIOLATIONS[rule][name])
     assert result["verdict"] == "broken"
     assert {text.split(":")[0] for text in result["broken"]} == {rule}
 
 
-def test_what_must_hold_is_judged_by_first_tries() -> None:
+def test_required_figures_count_first_tries() -> None:
     lines = []
     for rid in range(1, 11):
         done = 900 if rid == 1 else 300 if rid == 2 else 50
@@ -143,9 +143,9 @@
     assert result["broken"] == ["hold: served 0.9000 is below 0.95", "hold: in_time 0.0000 from 0 to 3 s is below 0.5"]
 
 
-def test_a_run_in_which_the_rig_was_late_is_never_held() -> None:
+def test_a_run_with_a_late_or_interrupted_rig_never_passes() -> None:
     note = {"t": 60 * MS, "e": "note", "what": "late", "figures": {"p_ms": 300.0}}
     assert verdict([*SERVED, note])["broken"] == ["late: the rig itself fell behind, this run does not count"]
     note["what"] = "interrupted"
     assert verdict([*SERVED, note])["verdict"] == "broken"
-    assert verdict([])["verdict"] == "broken"   # where nothing was asked nothing is shown
+    assert verdict([])["verdict"] == "broken"   # a run without requests shows nothing
--- a/tests/test_rig_runs.py
+++ b/tests/test_rig_runs.py
@@ -1,4 +1,4 @@
-"""Whole runs: the same bytes again in virtual time; real processes, interrupted ones too, that leave nothing behind."""
+"""Complete runs: reproducible in virtual time; with real processes, also interrupted ones, nothing is left behind."""
 
 from __future__ import annotations
 
@@ -53,13 +53,13 @@
 '''
 
 
-def rig(*words: str, **more: Any) -> subprocess.Popen[str]:
+def rig(*words: str, **options: Any) -> subprocess.Popen[str]:
     return subprocess.Popen([sys.executable, "-B", "-m", "moleworks", "--log-level", "error", "rig", *words], cwd=ROOT,
-                            stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, **more)
+                            stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, **options)
 
 
 def left_behind(folder: Path) -> list[str]:
-    """Processes that name this folder, or that have it as their own temporary one."""
+    """Processes with this folder in their command line or environment, and the rig's temporary folders in it."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
@@ -71,20 +71,20 @@
     return found + [str(path) for path in folder.glob("moleworks-rig-*")]
 
 
-def test_the_same_seed_gives_the_same_bytes_and_another_one_does_not(tmp_path: Path) -> None:
+def test_the_history_is_reproducible_for_a_seed_and_differs_between_seeds(tmp_path: Path) -> None:
     experiment, world = runner.load(str(ROOT / "experiments/storm.toml"))
     experiment.duration_s = 15
-    texts = []
+    histories = []
     for name, seed in (("a", 1), ("b", 1), ("c", 2)):
         experiment.seed = seed
         runner.prepare(tmp_path / name)
         runner.virtual(experiment, world, tmp_path / name)
-        texts.append((tmp_path / name / "history.jsonl").read_bytes())
-    assert texts[0] == texts[1] != texts[2]
+        histories.append((tmp_path / name / "history.jsonl").read_bytes())
+    assert histories[0] == histories[1] != histories[2]
     assert runner.conclude(experiment, tmp_path / "c", "", False)["figures"]["asked"] > 2000
 
 
-def test_the_module_keeps_the_rules_where_plain_retries_topple_cold_hosts(tmp_path: Path) -> None:
+def test_the_module_obeys_the_rules_where_simple_retries_topple_cold_hosts(tmp_path: Path) -> None:
     experiment = spec.Experiment("x", duration_s=20, load=spec.Load(rps=330), faults=[
         spec.Fault("crash", at_s=3, for_s=4, on="hosts", most=4)], hold=spec.Hold(served=0.8))
     world = places.check(experiment, "x")
@@ -97,7 +97,7 @@
     assert verdicts["two"]["figures"]["broken 4 topples"] > 0
 
 
-def test_a_sweep_goes_on_where_it_was_stopped(tmp_path: Path) -> None:
+def test_a_sweep_resumes_after_stored_results(tmp_path: Path) -> None:
     file = tmp_path / "a.toml"
     file.write_text('title = "x"\nduration_s = 3\n[load]\nrps = 50\n')
     planned = sweep.jobs(str(file), ["load.rps=50,80"], [1, 2])
@@ -115,15 +115,15 @@
             sweep.jobs(str(file), [text], [1])
 
 
-def test_differences_are_taken_in_pairs() -> None:
+def test_the_interval_uses_students_t() -> None:
     mean, half = compare.interval([0.1, 0.2, 0.3])
     assert mean == pytest.approx(0.2) and half == pytest.approx(4.30 * 0.1 / 3 ** 0.5)
 
 
-@pytest.mark.parametrize(("more", "code", "word"), [(CRASH, 0, "held"), (MISROUTE, 1, "never named")])
-def test_a_real_run_is_judged_and_leaves_nothing_behind(more: str, code: int, word: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("faults", "code", "word"), [(CRASH, 0, "held"), (MISROUTE, 1, "never named")])
+def test_a_real_run_is_judged_and_leaves_nothing_behind(faults: str, code: int, word: str, tmp_path: Path) -> None:
     file = tmp_path / "a.toml"
-    file.write_text(REAL + more)
+    file.write_text(REAL + faults)
     process = rig("run", str(file), "--out", str(tmp_path / "out"), env={**os.environ, "TMPDIR": str(tmp_path)})
     out, err = process.communicate(timeout=60)
     assert (process.returncode, word in out + err) == (code, True), out + err
@@ -134,13 +134,13 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_run_says_so_and_leaves_nothing_behind(number: int, tmp_path: Path) -> None:
+def test_an_interrupted_run_is_reported_and_leaves_nothing_behind(number: int, tmp_path: Path) -> None:
     file = tmp_path / "a.toml"
     file.write_text(REAL.replace("duration_s = 4", "duration_s = 50"))
     process = rig("run", str(file), "--out", str(tmp_path / "out"),
                   env={**os.environ, "TMPDIR": str(tmp_path)}, start_new_session=True)
     while not any(path.stat().st_size for path in tmp_path.glob("moleworks-rig-*/clients.part")):
-        assert process.poll() is None   # until the first requests have been asked
+        assert process.poll() is None   # until the first requests have been sent
     process.send_signal(number)
     _, err = process.communicate(timeout=30)
     assert process.returncode == 1 and "interrupted" in err
@@ -149,7 +149,7 @@
     assert left_behind(tmp_path) == []
 
 
-def test_a_gateway_that_dies_at_its_start_is_told_and_leaves_nothing(tmp_path: Path) -> None:
+def test_a_gateway_that_exits_at_startup_is_reported_and_leaves_nothing_behind(tmp_path: Path) -> None:
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy/balancer.toml").write_text('build = "true"\nrun = "echo no room >&2; exit 3"\n')
     file = tmp_path / "a.toml"
@@ -164,6 +164,6 @@
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1:80", "example.org:80", "127.0.0.1", "127.0.0.1:0", "8.8.8.8:53"])
-def test_no_machine_but_this_one_is_ever_loaded(address: str) -> None:
+def test_load_is_only_sent_to_loopback_addresses(address: str) -> None:
     with pytest.raises(config.ConfigError, match="loopback"):
         load.address(address)
