--- a/moleworks/rig/judge.py
+++ b/moleworks/rig/judge.py
@@ -28,7 +28,7 @@
 JUDGE_DELAY_NS = 5_000_000_000
 """A request is judged this long after its last possible response."""
 INVALIDATING_NOTES = {"late": "the rig itself fell behind", "interrupted": "it was ended before its time",
-          "trouble": "the rig could not do what the file asks", "ended": "a gateway ended by itself"}
+                      "trouble": "the rig could not do what the file asks", "ended": "a gateway ended by itself"}
 """Notes of the rig that invalidate the run: a run with one of them never passes."""
 MAX_JUDGED_IDS = 1_000_000
 """Number of judged request ids that are remembered: a link that was cut may deliver a request long afterwards."""
@@ -281,7 +281,7 @@
             for earlier in ran:
                 if earlier.ended_at is None or earlier.ended_at > arrival.sent_at + SLACK_NS:
                     self._add_violation("2 repeats", f"request {request.rid} was out at {earlier.host} and at "
-                                f"{arrival.host} at once")
+                                        f"{arrival.host} at once")
                 if cls["effect"] == "unsafe":
                     self._add_violation("2 repeats", f"request {request.rid} is unsafe and was sent again")
                 elif cls["effect"] == "keyed":
@@ -297,7 +297,7 @@
         same = {"all": True, "zone": one[0] == other[0], "cell": one == other}[cls["group"]]
         if not same:
             self._add_violation("2 repeats", f"request {request.rid} left its {cls['group']}: it went to "
-                        f"{earlier.host} and {arrival.host}")
+                                f"{earlier.host} and {arrival.host}")
         if arrival.sent_at > earlier.sent_at + cls["window"] + SLACK_NS:
             self._add_violation("2 repeats", f"request {request.rid} was sent again after its window")
 
@@ -390,7 +390,7 @@
 
 
 def judge_lines(lines: Iterable[dict[str, Any]],
-           hold: dict[str, Any]) -> tuple[dict[str, Any], dict[int, Counter[str]]]:
+                hold: dict[str, Any]) -> tuple[dict[str, Any], dict[int, Counter[str]]]:
     """The same as `judge` for lines that are already decoded."""
     checker = Judge()
     checker.window_counts = {(window["from_s"], window["to_s"]): [0, 0] for window in hold.get("windows", [])}
--- a/moleworks/rig/report.py
+++ b/moleworks/rig/report.py
@@ -143,9 +143,9 @@
             upper.plot([line["t"] / 1e9, max(line["t"], line["end"]) / 1e9], [line["who"]] * 2, color="tab:blue")
     writes = [line for line in lines if line["e"] == "op" and line["kind"] != "get"]
     lower.plot([line["t"] / 1e9 for line in writes if line["end"] >= 0],
-             [(line["end"] - line["t"]) / 1e6 for line in writes if line["end"] >= 0], ".", label="answered")
+               [(line["end"] - line["t"]) / 1e6 for line in writes if line["end"] >= 0], ".", label="answered")
     lower.plot([line["t"] / 1e9 for line in writes if line["end"] < 0],
-             [1.0 for line in writes if line["end"] < 0], "x", label="no answer")
+               [1.0 for line in writes if line["end"] < 0], "x", label="no answer")
     lower.set_yscale("log")
     lower.set_ylabel("write, ms")
     lower.set_xlabel("s")
--- a/moleworks/rig/store_judge.py
+++ b/moleworks/rig/store_judge.py
@@ -86,15 +86,15 @@
         holdings.append(Holding("lead", line["who"], line["token"], line["t"], max(end, line["t"])))
     violations += overlapping_holdings(holdings)
     violations += stale_token_writes([(line["t"], line["token"]) for line in history.all("grant")],
-                               [(line["sent"], line["token"], line["who"])
-                                for line in history.all("act") if line["done"]])
+                                     [(line["sent"], line["token"], line["who"])
+                                      for line in history.all("act") if line["done"]])
     grants = sorted(history.all("grant"), key=lambda line: line["t"])
     for act in history.all("act"):
         if not act["late"]:
             newer = [line for line in grants if line["t"] < act["t"] and line["token"] > act["token"]]
             if newer:
                 violations.append(f"{act['who']} acted under token {act['token']} after {newer[0]['who']} had "
-                            f"{newer[0]['token']}")
+                                  f"{newer[0]['token']}")
 
 
 def _gaps(history: _History) -> tuple[float, float, float]:
@@ -110,8 +110,8 @@
         after = next((at for at, holder in grants if at > t and holder != who), None)
         return (after - t) / 1e6 if after is not None else 0.0
     takeover = [takeover_ms(line["t"], line["on"]) for line in history.all("fault")
-             if line["what"] == "begin" and line["kind"] in ("kill", "stop") and line["on"].startswith("d")
-             and line["to"] == "holds"]
+                if line["what"] == "begin" and line["kind"] in ("kill", "stop") and line["on"].startswith("d")
+                and line["to"] == "holds"]
     handover = [takeover_ms(line["t"], line["who"]) for line in history.all("let") if line["why"] == "handed"]
     return gap / 1e9, max(takeover, default=0.0), max(handover, default=0.0)
 
@@ -142,8 +142,8 @@
     if first["services"]:
         figures.update(registry_judge.judge(history.by_kind, violations, first["bound"], first["records"]))
     violations += [f"{name} is {figures[name]}, must be at least {bound:g}"
-             for name, bound in least.items() if figures[name] < bound]
+                   for name, bound in least.items() if figures[name] < bound]
     violations += [f"{name} is {figures[name]}, must be at most {bound:g}"
-             for name, bound in most.items() if figures[name] > bound]
+                   for name, bound in most.items() if figures[name] > bound]
     return {"verdict": "broken" if violations else "held", "figures": figures, "faults": history.all("fault"),
             "broken": list(dict.fromkeys(violations))[:100]}
--- a/moleworks/rig/store_spec.py
+++ b/moleworks/rig/store_spec.py
@@ -111,7 +111,7 @@
             errors.append(f"{path}.at_s: is after the end")
     for part, bounds in (("least", experiment.hold.least), ("most", experiment.hold.most)):
         errors += [f"hold.{part}.{name}: no such figure, must be one of: {', '.join(figures)}"
-                 for name in bounds if name not in figures]
+                   for name in bounds if name not in figures]
     if errors:
         raise ConfigError([f"{file}: {line}" for line in errors])
     return experiment
--- a/moleworks/rig/sweep.py
+++ b/moleworks/rig/sweep.py
@@ -152,7 +152,7 @@
         f" # {path}={value}" for path, value in json.loads(job.params).items())
     with tempfile.TemporaryDirectory(prefix="moleworks-sweep-") as folder:
         job_json = json.dumps({"experiment": json.loads(job.raw), "file": job.file, "out": folder, "policy": job.policy,
-                           "root": job.path, "replay": replay})
+                               "root": job.path, "replay": replay})
         path = os.pathsep.join(filter(None, [job.path, str(ROOT)]))
         process = subprocess.Popen(
             [sys.executable, "-B", "-m", "moleworks.rig.worker", job_json], stdout=subprocess.PIPE,
