--- a/moleworks/rig/virtual/__init__.py
+++ b/moleworks/rig/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time: the models, the decision module and later cores on a heap of events, without sockets."""
+"""Simulation in virtual time: host models, the decision module and the store and gossip cores, without sockets."""
--- a/moleworks/rig/virtual/callers.py
+++ b/moleworks/rig/virtual/callers.py
@@ -1,4 +1,4 @@
-"""Clients of the store in virtual time: some change and read records, some want a duty and write under it."""
+"""Clients of the store in virtual time: some change and read records, some acquire a duty and write under its token."""
 
 from __future__ import annotations
 
@@ -31,58 +31,60 @@
 
 
 class Client:
-    """Calls one thing at a time, and sends it again elsewhere under its number until there is an answer."""
+    """Has one request open at a time, and resends it to other members under the same number until there is a result."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
         self.cluster = cluster
         self.name = name
         self.rng = random.Random(f"{name} {cluster.seed}")
-        self.rate = 1.0 + self.rng.uniform(-0.01, 0.01)
+        self.clock_rate = 1.0 + self.rng.uniform(-0.01, 0.01)
         self.number = 0
         self._call = 0
         self._target = self.rng.choice(cluster.names)
-        self._then: Callable[[Any], None] | None = None
-        self._what: Any = None
-        self._tries = 0
-        cluster.loop.at(self.rng.randrange(SECOND), self.ask, Open(name), self.opened)
+        self._callback: Callable[[Any], None] | None = None
+        self._operation: Any = None
+        self._attempt = 0
+        cluster.loop.call_at(self.rng.randrange(SECOND), self.request, Open(name), self.on_session_opened)
 
     def now(self) -> int:
-        """By its own clock."""
-        return int(self.cluster.loop.now * self.rate)
+        """The time of the client's own clock, ns."""
+        return int(self.cluster.loop.now * self.clock_rate)
 
-    def opened(self, result: Any) -> None:
-        """The session is there, or must be asked for again."""
+    def on_session_opened(self, result: Any) -> None:
+        """Start the operations once the session is open; open it again if there was no result."""
         if result is None:
-            self.ask(Open(self.name), self.opened)
+            self.request(Open(self.name), self.on_session_opened)
         else:
-            self.next()
+            self.schedule_next()
 
-    def next(self) -> None:
-        """The next thing to do."""
+    def schedule_next(self) -> None:
+        """Schedule the next operation."""
 
-    def ask(self, what: Any, then: Callable[[Any], None]) -> None:
-        """A command, or a key to be read; the answer goes to `then`, None if there was none for long."""
+    def request(self, operation: Any, callback: Callable[[Any], None]) -> None:
+        """Send a command, or a key to be read; `callback` gets the result, or None after 12 attempts without one."""
         self._call += 1
-        self._what, self._then, self._tries = what, then, 0
+        self._operation, self._callback, self._attempt = operation, callback, 0
         self._send(self._call)
 
     def _send(self, call: int) -> None:
-        if call != self._call or self._then is None:
+        if call != self._call or self._callback is None:
             return
-        self._tries += 1
+        self._attempt += 1
         cluster = self.cluster
-        if self._tries > 12:
+        if self._attempt > 12:
             self._finish(None)
             return
         member = cluster.members.get(self._target)
         delay = cluster.rng.randrange(MS // 2, 3 * MS)
         if member is not None:
-            ticket = (self, call, self._tries)
-            if isinstance(self._what, str):
-                cluster.loop.at(cluster.loop.now + delay, member.hear, 0, self._read, member, ticket, self._what)
+            ticket = (self, call, self._attempt)
+            if isinstance(self._operation, str):
+                cluster.loop.call_at(cluster.loop.now + delay, member.invoke, 0, self._read, member, ticket,
+                                     self._operation)
             else:
-                cluster.loop.at(cluster.loop.now + delay, member.hear, 0, self._submit, member, ticket, self._what)
-        cluster.loop.at(cluster.loop.now + 500 * MS, self._timeout, call, self._tries)
+                cluster.loop.call_at(cluster.loop.now + delay, member.invoke, 0, self._submit, member, ticket,
+                                     self._operation)
+        cluster.loop.call_at(cluster.loop.now + 500 * MS, self._timeout, call, self._attempt)
 
     @staticmethod
     def _read(member: Member, ticket: Any, key: str) -> None:
@@ -92,156 +94,159 @@
     def _submit(member: Member, ticket: Any, command: Command) -> None:
         member.replica.submit(member.now(), ticket, command)
 
-    def _timeout(self, call: int, tries: int) -> None:
-        if call == self._call and tries == self._tries and self._then is not None:
+    def _timeout(self, call: int, attempt: int) -> None:
+        if call == self._call and attempt == self._attempt and self._callback is not None:
             self._target = self.rng.choice(self.cluster.names)
             self._send(call)
 
-    def answered(self, call: int, tries: int, result: Any) -> None:
-        """An answer has come."""
-        if call != self._call or tries != self._tries or self._then is None:
+    def on_result(self, call: int, attempt: int, result: Any) -> None:
+        """Handle the result of an attempt."""
+        if call != self._call or attempt != self._attempt or self._callback is None:
             return
         if isinstance(result, Redirect):
             self._target = result.leader if result.leader and self.rng.random() < 0.9 else self.rng.choice(
                 self.cluster.names)
-            self._tries += 1   # a late answer to the try before counts no more
-            self.cluster.loop.at(self.cluster.loop.now + self.rng.randrange(20 * MS, 60 * MS), self._send, call)
+            self._attempt += 1   # so that a late result of the previous attempt is ignored
+            self.cluster.loop.call_at(self.cluster.loop.now + self.rng.randrange(20 * MS, 60 * MS), self._send, call)
             return
         self._finish(result)
 
     def _finish(self, result: Any) -> None:
-        then, self._then = self._then, None
-        assert then is not None
-        then(result)
+        callback, self._callback = self._callback, None
+        assert callback is not None
+        callback(result)
 
 
 class Writer(Client):
-    """Puts, compares and sets, and reads records; every value is one of a kind."""
+    """Writes records, with and without conditions, and reads them; every written value is unique."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
-        self._seen: dict[str, tuple[Any, int]] = {}
-        self._at = 0
+        self._last_seen: dict[str, tuple[Any, int]] = {}
+        self._called_at = 0
         super().__init__(cluster, name)
 
-    def next(self) -> None:
-        """A new operation after a pause."""
+    def schedule_next(self) -> None:
+        """Schedule the next operation after a pause."""
         if self.cluster.loop.now < self.cluster.end:
-            self.cluster.loop.at(self.cluster.loop.now + self.rng.randrange(10 * MS, 150 * MS), self._operate)
+            self.cluster.loop.call_at(self.cluster.loop.now + self.rng.randrange(10 * MS, 150 * MS),
+                                      self._start_operation)
 
-    def _operate(self) -> None:
+    def _start_operation(self) -> None:
         key = f"k{self.rng.randrange(self.cluster.settings.keys)}"
-        self._at = self.cluster.loop.now
-        kind = self.rng.random()
-        if kind < (0.6 if self.cluster.mode == "stale" else 0.35):
-            if self.cluster.fallen and self.cluster.mode == "stale" and self.rng.random() < 0.7:
-                self._target = self.cluster.fallen   # it may still believe that it leads
+        self._called_at = self.cluster.loop.now
+        draw = self.rng.random()
+        if draw < (0.6 if self.cluster.mode == "stale" else 0.35):
+            if self.cluster.last_failed_leader and self.cluster.mode == "stale" and self.rng.random() < 0.7:
+                self._target = self.cluster.last_failed_leader   # it may still believe that it is the leader
             elif self.rng.random() < 0.4:
-                self._target = self.rng.choice(self.cluster.names)   # one that led before, perhaps
-            self.ask(key, lambda result: self._was_read(key, result))
+                self._target = self.rng.choice(self.cluster.names)   # possibly a former leader
+            self.request(key, lambda result: self._on_read(key, result))
             return
         self.number += 1
         value = f"{self.name}-{self.number}".encode()
         conditions: tuple[Condition, ...] = ()
-        expected = self._seen.get(key)
-        if kind < 0.7 and expected is not None:
+        expected = self._last_seen.get(key)
+        if draw < 0.7 and expected is not None:
             conditions = (Condition(key, expected[1]),)
         command = Change(self.name, self.number, (Put(key, value),), conditions)
-        self.ask(command, lambda result: self._was_put(key, value, expected if conditions else None, result))
+        self.request(command, lambda result: self._on_put(key, value, expected if conditions else None, result))
 
-    def _was_read(self, key: str, result: Any) -> None:
+    def _on_read(self, key: str, result: Any) -> None:
         if result is not None:
-            self._seen[key] = result
-            self.cluster.note(key, Op(self._at, self.cluster.loop.now, "get", None, result[0]))
-        self.next()
+            self._last_seen[key] = result
+            self.cluster.record_operation(key, Op(self._called_at, self.cluster.loop.now, "get", None, result[0]))
+        self.schedule_next()
 
-    def _was_put(self, key: str, value: bytes, expected: tuple[Any, int] | None, result: Result | None) -> None:
-        ended = None if result is None else self.cluster.loop.now
+    def _on_put(self, key: str, value: bytes, expected: tuple[Any, int] | None, result: Result | None) -> None:
+        returned_at = None if result is None else self.cluster.loop.now
         if result is not None and result.why not in ("", "condition"):
-            self.cluster.trouble.append(f"{self.name}: {result.why}")
-            ended = None
+            self.cluster.unexpected_results.append(f"{self.name}: {result.why}")
+            returned_at = None
         revision = result.revision if result is not None and result.done else 0
         if expected is None:
-            self.cluster.note(key, Op(self._at, ended, "put", value, True, revision))
+            self.cluster.record_operation(key, Op(self._called_at, returned_at, "put", value, True, revision))
         else:
             done = result is not None and result.done
-            self.cluster.note(key, Op(self._at, ended, "cas", (expected[0], value), done, revision))
+            self.cluster.record_operation(key, Op(self._called_at, returned_at, "cas", (expected[0], value), done,
+                                                      revision))
         if result is not None and result.done:
-            self._seen[key] = (value, result.revision)
+            self._last_seen[key] = (value, result.revision)
             self.cluster.acknowledged += 1
-        self.next()
+        self.schedule_next()
 
 
 class Holder(Client):
-    """Wants the duty, holds it while it can, writes under its token, and stops now and then with all of it in hand."""
+    """Acquires the duty, renews it, writes under its token, and is sometimes suspended while it holds the duty."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
         self.held: Held | None = None
-        self._sent = self._at = 0
-        self._since = 0
+        self._sent_at = self._called_at = 0
+        self._held_since = 0
         super().__init__(cluster, name)
 
-    def next(self) -> None:
-        """Acquire, renew, or write under the grant."""
+    def schedule_next(self) -> None:
+        """Schedule the next operation: acquire, renew, or write under the grant."""
         cluster = self.cluster
         if cluster.loop.now >= cluster.end:
-            self._let_go()
+            self._end_holding()
             return
         wait = self.rng.randrange(50 * MS, 250 * MS)
         if self.rng.random() < 0.06:
-            wait += int(self.rng.uniform(0.5, 3.0) * SECOND)   # stopped, and goes on as if nothing had been
-        cluster.loop.at(cluster.loop.now + wait, self._act)
+            wait += int(self.rng.uniform(0.5, 3.0) * SECOND)   # suspended; resumes without noticing it
+        cluster.loop.call_at(cluster.loop.now + wait, self._start_operation)
 
-    def _act(self) -> None:
+    def _start_operation(self) -> None:
         self.number += 1
-        self._sent, self._at = self.now(), self.cluster.loop.now
+        self._sent_at, self._called_at = self.now(), self.cluster.loop.now
         held = self.held
         if held is None:
-            self.ask(Acquire(self.name, self.number, DUTY, self.name, TTL_MS), self._acquired)
+            self.request(Acquire(self.name, self.number, DUTY, self.name, TTL_MS), self._on_acquired)
         elif self.rng.random() < 0.4:
             change = Change(self.name, self.number, (Put("guarded", f"{self.name}-{self.number}".encode()),),
                             (), Guard(DUTY, held.token))
-            self.ask(change, lambda result: self._wrote(self._at, held.token, result))
+            self.request(change, lambda result: self._on_guarded_write(self._called_at, held.token, result))
         else:
             release = self.rng.random() < 0.1
-            to = self.rng.choice(self.cluster.holder_names) if self.rng.random() < 0.1 else ""
-            self.ask(Renew(self.name, self.number, DUTY, held.token, release, to), self._renewed)
-            if release or to:
-                self._let_go()   # it stops before it says so
+            successor = self.rng.choice(self.cluster.holder_names) if self.rng.random() < 0.1 else ""
+            self.request(Renew(self.name, self.number, DUTY, held.token, release, successor), self._on_renewed)
+            if release or successor:
+                self._end_holding()   # it stops acting as the holder before it sends the release
 
-    def _acquired(self, result: Result | None) -> None:
+    def _on_acquired(self, result: Result | None) -> None:
         if result is not None and result.done:
-            held = self.cluster.parts.held(DUTY, result.token, TTL_MS, self._sent)
-            if held.holds(self.now()):   # an answer to what was sent again may come when its lease is out
-                self.held, self._since = held, self.cluster.loop.now
+            held = self.cluster.parts.held(DUTY, result.token, TTL_MS, self._sent_at)
+            if held.holds(self.now()):   # the result of a resent request may arrive after its lease has expired
+                self.held, self._held_since = held, self.cluster.loop.now
                 self.cluster.grants += 1
-            self.cluster.granted.append((self.cluster.loop.now, result.token))
-        self.next()
+            self.cluster.granted_tokens.append((self.cluster.loop.now, result.token))
+        self.schedule_next()
 
-    def _renewed(self, result: Result | None) -> None:
+    def _on_renewed(self, result: Result | None) -> None:
         if self.held is not None and result is not None:
             if result.done:
-                self.held.on_renewed(self._sent)
+                self.held.on_renewed(self._sent_at)
             else:
-                self._let_go()
-        self._stop_if_out()
-        self.next()
+                self._end_holding()
+        self._end_if_expired()
+        self.schedule_next()
 
-    def _wrote(self, called: int, token: int, result: Result | None) -> None:
+    def _on_guarded_write(self, called_at: int, token: int, result: Result | None) -> None:
         if result is not None and result.done:
-            self.cluster.guarded.append((called, token, self.name))
+            self.cluster.guarded_writes.append((called_at, token, self.name))
         elif result is not None and result.why == "token":
             self.cluster.refused_tokens += 1
-            self._let_go()
-        self._stop_if_out()
-        self.next()
+            self._end_holding()
+        self._end_if_expired()
+        self.schedule_next()
 
-    def _stop_if_out(self) -> None:
+    def _end_if_expired(self) -> None:
         if self.held is not None and not self.held.holds(self.now()):
-            self._let_go()
+            self._end_holding()
 
-    def _let_go(self) -> None:
-        """It believed to hold the duty until its lease was out, or until now if that came first."""
+    def _end_holding(self) -> None:
+        """Record how long the client believed it held the duty: until its lease expired, or until now if earlier."""
         held, self.held = self.held, None
         if held is not None:
-            until = min(self.cluster.loop.now, int(held.expires_at / self.rate))
-            self.cluster.holdings.append(Holding(DUTY, self.name, held.token, self._since, max(self._since, until)))
+            held_until = min(self.cluster.loop.now, int(held.expires_at / self.clock_rate))
+            self.cluster.holdings.append(Holding(DUTY, self.name, held.token, self._held_since,
+                                                 max(self._held_since, held_until)))
--- a/moleworks/rig/virtual/cluster.py
+++ b/moleworks/rig/virtual/cluster.py
@@ -1,8 +1,9 @@
-"""The store in virtual time under faults at random: members, disks, clients, and what is recorded of them.
+"""The store in virtual time under random faults: members, disks, clients, and the recorded history.
 
-One seed, one history.  Members crash with what their disks had not synced, stop for a while and go on, are cut off one
-way or both, lose, copy and reorder messages, keep time 1 in 100 apart, come and go as members; leaders are moved and
-logs compacted meanwhile.  Clients change and read records and hold a duty, and send again what had no answer.
+Each seed gives one history.  Members crash and lose unsynced data, are suspended and resumed, are cut off in one
+direction or both, and join and leave; messages are lost, duplicated and reordered; clock rates differ from the true
+rate by up to 1 in 100; leadership is transferred and logs are compacted meanwhile.  Clients change and read records,
+hold a duty, and resend requests without a reply.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 from .loop import Links, Loop
 from .members import MS, SECOND, Member, Parts
 
-MOST_EVENTS = 300_000
-"""A history has some ten thousand; one with so many will never end."""
+MAX_EVENTS = 300_000
+"""A history has about ten thousand events; one that reaches this limit does not terminate."""
 
 
 FAULTS = ("crash", "crash", "stop", "cut", "cut", "isolate", "slow", "transfer", "members", "compact", "leader",
           "leader")
 MODES = ("mixed", "leaders", "points", "members", "stale", "splits")
-"""What a history dwells on, by its seed: leaders that fall as soon as they lead, processes that end at the points where
-something is written or said, members that change, readers of a leader that was stopped or cut off, members that are
-split in two with the leader in the smaller part."""
+"""The emphasis of a history, chosen by its seed: leaders that fail as soon as they are elected, processes that crash at
+the points where they write or send, membership changes, reads from a leader that was suspended or cut off, network
+partitions with the leader in the minority."""
 
 
 class Settings(Struct):
@@ -42,20 +43,20 @@
     holders: int = 2
     keys: int = 2
     seconds: float = 9.0
-    calm_s: float = 4.0            # at the end, without faults: every wish must come true then
+    calm_s: float = 4.0            # at the end, without faults: every request must succeed by then
     fault_gap_s: float = 0.35
     compact_entries: int = 60
 
 
 class Cluster:
-    """One history."""
+    """One history of the store."""
 
     def __init__(self, seed: int, settings: Settings | None = None, parts: Parts | None = None) -> None:
         self.seed = seed
         self.settings = settings = settings or Settings(members=5 if seed % 3 == 0 else 3)
         self.parts = parts or Parts()
         self.rng = random.Random(f"cluster {seed}")
-        self.fallen = ""                                  # the leader that was stopped or cut off last
+        self.last_failed_leader = ""                      # name of the leader that a fault hit last
         self.mode = MODES[seed % len(MODES)]
         self.timers = Timers(batch=self.rng.choice([1, 2, 512]), piece=self.rng.choice([200, 256 * 1024]))
         self.loop = Loop()
@@ -65,74 +66,75 @@
         self._spares = [f"m{settings.members + index}" for index in range(settings.spares)]
         self.ops: dict[str, list[Op]] = {}
         self.holdings: list[Holding] = []
-        self.guarded: list[tuple[int, int, str]] = []     # called at, token, who: accepted ones
-        self.granted: list[tuple[int, int]] = []          # answered at, token
-        self.trouble: list[str] = []
+        self.guarded_writes: list[tuple[int, int, str]] = []   # accepted writes: call time, token, client
+        self.granted_tokens: list[tuple[int, int]] = []        # reply time, token
+        self.unexpected_results: list[str] = []
         self.broken: list[str] = []
-        self.acknowledged = self.grants = self.refused_tokens = self.elections = self.moves = 0
-        self._leaders: dict[int, str] = {}
-        self.hashes: dict[int, tuple[int | None, int, int]] = {}
+        self.acknowledged = self.grants = self.refused_tokens = self.elections = self.reconfigurations = 0
+        self._leader_by_term: dict[int, str] = {}
+        self.state_hashes: dict[int, tuple[int | None, int, int]] = {}
         config = Config(tuple(self.names))
         self.members = {}
         for name in self.names:
             self.members[name] = Member(self, name, config)
-        self._loss = self.rng.choice([0.0, 0.0, 0.05, 0.2])
-        self._copies = self.rng.choice([0.0, 0.1])
-        self._spread = self.rng.choice([1, 1, 10, 60])
+        self._loss_probability = self.rng.choice([0.0, 0.0, 0.05, 0.2])
+        self._duplicate_probability = self.rng.choice([0.0, 0.1])
+        self._max_delay_ms = self.rng.choice([1, 1, 10, 60])
         self.holder_names = [f"d{index}" for index in range(settings.holders)]
         self.clients: dict[str, Client] = {f"c{index}": Writer(self, f"c{index}") for index in range(settings.clients)}
         for name in self.holder_names:
             self.clients[name] = Holder(self, name)
-        self.loop.at(int(self.rng.uniform(0.2, 1.5) * SECOND), self._fault)
+        self.loop.call_at(int(self.rng.uniform(0.2, 1.5) * SECOND), self._fault)
 
-    # ---- What happens between members --------------------------------------------------------------------
+    # ---- Messages and checks -----------------------------------------------------------------------------
 
     def send(self, source: str, target: str, message: Message) -> None:
-        """A message on its way: lost, copied, late, in another order."""
+        """Send a message between members; it may be lost, duplicated, delayed or reordered."""
         member = self.members.get(target)
-        if member is None or self.rng.random() < self._loss:
+        if member is None or self.rng.random() < self._loss_probability:
             return
-        for _ in range(2 if self.rng.random() < self._copies else 1):
-            delay = self.rng.randrange(MS // 4, MS * self._spread)
-            self.links.packets(source, target, delay, 100, member.hear, 0, member.deliver, source, message)
+        for _ in range(2 if self.rng.random() < self._duplicate_probability else 1):
+            delay = self.rng.randrange(MS // 4, MS * self._max_delay_ms)
+            self.links.send_datagram(source, target, delay, 100, member.invoke, 0, member.deliver, source, message)
 
-    def answer(self, member: Member, ticket: Any, result: Any) -> None:
-        """An answer to a client; it may be lost."""
-        if isinstance(ticket, tuple) and len(ticket) == 2:   # a read that must be asked again
+    def send_result(self, member: Member, ticket: Any, result: Any) -> None:
+        """Send a result to a client; it may be lost."""
+        if isinstance(ticket, tuple) and len(ticket) == 2:   # a read that the client must send again
             ticket = ticket[0]
-        client, call, tries = ticket
-        if self.rng.random() >= self._loss:
-            self.loop.at(self.loop.now + self.rng.randrange(MS // 2, 3 * MS), client.answered, call, tries, result)
+        client, call, attempt = ticket
+        if self.rng.random() >= self._loss_probability:
+            self.loop.call_at(self.loop.now + self.rng.randrange(MS // 2, 3 * MS), client.on_result, call, attempt,
+                              result)
 
-    def note(self, key: str, op: Op) -> None:
-        """An operation for the judge."""
+    def record_operation(self, key: str, op: Op) -> None:
+        """Record an operation for the linearizability check."""
         self.ops.setdefault(key, []).append(op)
 
-    def leads(self, term: int, name: str) -> None:
-        """Two leaders of one term must not be."""
-        if (term not in self._leaders and self.mode == "leaders"
+    def on_leader(self, term: int, name: str) -> None:
+        """Check that a term has only one leader; in mode "leaders" a new leader often fails soon after."""
+        if (term not in self._leader_by_term and self.mode == "leaders"
                 and self.loop.now < self.end - int((self.settings.calm_s + 0.5) * SECOND) and self.rng.random() < 0.6):
             wait = self.rng.choice([3, 20, 150, 400]) * MS
-            self.loop.at(self.loop.now + wait, self.rng.choice((self._crash, self._isolate, self._stop)),
+            self.loop.call_at(self.loop.now + wait, self.rng.choice((self._crash, self._isolate, self._stop)),
                          self.members[name])
-        if self._leaders.setdefault(term, name) != name:
-            self.broken.append(f"two leaders of term {term}: {self._leaders[term]} and {name}")
-        self.elections = len(self._leaders)
+        if self._leader_by_term.setdefault(term, name) != name:
+            self.broken.append(f"two leaders of term {term}: {self._leader_by_term[term]} and {name}")
+        self.elections = len(self._leader_by_term)
 
-    def applied(self, member: Member) -> None:
-        """Members that have applied as much must have the same state."""
+    def check_applied(self, member: Member) -> None:
+        """Check that members that have applied the same entries have the same state."""
         index = member.replica.core.applied
         state = member.replica.state
-        seen = (member.replica.core.log.term(index), state.revision, hash(tuple((key, record.value, record.revision)
+        summary = (member.replica.core.log.term(index), state.revision, hash(tuple((key, record.value, record.revision)
                                            for key, record in sorted(state.records.items()))))
-        if self.hashes.setdefault(index, seen) != seen:
+        if self.state_hashes.setdefault(index, summary) != summary:
             self.broken.append(f"states differ at entry {index}")
 
     # ---- Faults ------------------------------------------------------------------------------------------
 
     def _fault(self) -> None:
         if self.loop.now > self.end - int(self.settings.calm_s * SECOND):
-            self._calm()
+            self._end_faults()
             return
         kind = self.rng.choice(FAULTS)
         if self.mode == "members" and self.rng.random() < 0.5:
@@ -143,107 +145,107 @@
             kind = "split"
         getattr(self, "_" + kind)()
         gap = self.settings.fault_gap_s * self.rng.uniform(0.3, 1.7)
-        self.loop.at(self.loop.now + int(gap * SECOND), self._fault)
+        self.loop.call_at(self.loop.now + int(gap * SECOND), self._fault)
 
-    def fragile(self, moved: bool) -> bool:
-        """Whether a process ends at this very point: likelier where a term or a vote was written."""
+    def crashes_now(self, vote_changed: bool) -> bool:
+        """Whether a process crashes at this point, which is likelier where a term or a vote was written."""
         if self.mode != "points" or self.loop.now > self.end - int(self.settings.calm_s * SECOND):
             return False
-        return self.rng.random() < (0.12 if moved else 0.01)
+        return self.rng.random() < (0.12 if vote_changed else 0.01)
 
-    def _some(self) -> Member:
+    def _random_member(self) -> Member:
         return self.members[self.rng.choice(self.names)]
 
-    def _later(self, call: Callable[..., None], *args: Any) -> None:
-        self.loop.at(self.loop.now + int(self.rng.uniform(0.1, 2.5) * SECOND), call, *args)
+    def _call_later(self, call: Callable[..., None], *args: Any) -> None:
+        self.loop.call_at(self.loop.now + int(self.rng.uniform(0.1, 2.5) * SECOND), call, *args)
 
     def _crash(self, member: Member | None = None) -> None:
-        for one in [member or self._some(), *(self.members.values() if self.rng.random() < 0.1 else ())]:
-            if one.alive:
-                one.crash()
-                self._later(self._restart, one)
+        for victim in [member or self._random_member(), *(self.members.values() if self.rng.random() < 0.1 else ())]:
+            if victim.alive:
+                victim.crash()
+                self._call_later(self._restart, victim)
 
     def _restart(self, member: Member) -> None:
         if not member.alive:
             member.start()
 
     def _leader(self) -> None:
-        """The leader falls, just now."""
+        """Crash, suspend or isolate the current leader."""
         leaders = [member for member in self.members.values() if member.alive and member.replica.core.role == LEADER]
         if leaders:
             member = self.rng.choice(leaders)
-            self.fallen = member.name
-            falls = (self._stop, self._isolate) if self.mode == "stale" else (self._crash, self._stop, self._isolate)
-            self.rng.choice(falls)(member)
+            self.last_failed_leader = member.name
+            faults = (self._stop, self._isolate) if self.mode == "stale" else (self._crash, self._stop, self._isolate)
+            self.rng.choice(faults)(member)
 
     def _split(self) -> None:
-        """Two parts that do not hear each other: the leader in the smaller one, with what nobody else will commit."""
-        leader = self._at_leader()
+        """Partition the members, with the leader in the minority, where its new entries cannot be committed."""
+        leader = self._current_leader()
         names = [name for name in self.names if leader is None or name != leader.name]
         self.rng.shuffle(names)
-        small = names[:max(0, (len(self.names) - 1) // 2 - 1)] + ([leader.name] if leader is not None else [])
-        for one in small:
+        minority = names[:max(0, (len(self.names) - 1) // 2 - 1)] + ([leader.name] if leader is not None else [])
+        for one in minority:
             for other in self.names:
-                if other not in small:
+                if other not in minority:
                     for pair in ((one, other), (other, one)):
-                        self._way(*pair, 1)
-                        self._later(self._way, *pair, -1)
+                        self._change_cuts(*pair, 1)
+                        self._call_later(self._change_cuts, *pair, -1)
         if self.rng.random() < 0.5:
-            self._later(self._late_crash)
+            self._call_later(self._delayed_crash)
 
-    def _late_crash(self) -> None:
-        """The part that was smaller has just been told what it has to take back; not in the calm any more."""
+    def _delayed_crash(self) -> None:
+        """Crash a member when a former minority must truncate its log, but not in the final phase without faults."""
         if self.loop.now <= self.end - int(self.settings.calm_s * SECOND):
             self._crash()
 
     def _stop(self, member: Member | None = None) -> None:
-        (member or self._some()).stopped_until = self.loop.now + int(self.rng.uniform(0.1, 3.0) * SECOND)
+        (member or self._random_member()).stopped_until = self.loop.now + int(self.rng.uniform(0.1, 3.0) * SECOND)
 
     def _slow(self) -> None:
-        member = self._some()
-        member.slow = self.rng.choice([1.0, 20.0, 100.0])
+        member = self._random_member()
+        member.sync_factor = self.rng.choice([1.0, 20.0, 100.0])
 
     def _cut(self) -> None:
         one, other = self.rng.sample(self.names, 2)
-        self._way(one, other, 1)
-        self._later(self._way, one, other, -1)
+        self._change_cuts(one, other, 1)
+        self._call_later(self._change_cuts, one, other, -1)
         if self.rng.random() < 0.6:
-            self._way(other, one, 1)
-            self._later(self._way, other, one, -1)
+            self._change_cuts(other, one, 1)
+            self._call_later(self._change_cuts, other, one, -1)
 
-    def _way(self, one: str, other: str, by: int) -> None:
-        link = self.links.way(one, other)
-        link.cut = max(0, link.cut + by)
-        self.links.settle(one, other)
+    def _change_cuts(self, one: str, other: str, change: int) -> None:
+        link = self.links.link(one, other)
+        link.cut = max(0, link.cut + change)
+        self.links.on_faults_changed(one, other)
 
     def _isolate(self, member: Member | None = None) -> None:
-        name = (member or self._some()).name
+        name = (member or self._random_member()).name
         for other in self.names:
             if other != name:
                 for pair in ((name, other), (other, name)):
-                    self._way(*pair, 1)
-                    self._later(self._way, *pair, -1)
+                    self._change_cuts(*pair, 1)
+                    self._call_later(self._change_cuts, *pair, -1)
 
-    def _at_leader(self) -> Member | None:
+    def _current_leader(self) -> Member | None:
         return next((member for member in self.members.values()
                      if member.alive and member.replica.core.role == LEADER), None)
 
     def _transfer(self) -> None:
-        leader = self._at_leader()
+        leader = self._current_leader()
         if leader is not None:
-            leader.hear(0, leader.replica.core.transfer, leader.now(), self.rng.choice(self.names))
+            leader.invoke(0, leader.replica.core.transfer, leader.now(), self.rng.choice(self.names))
 
     def _compact(self) -> None:
-        member = self._some()
-        member.hear(0, member.replica.compact)
+        member = self._random_member()
+        member.invoke(0, member.replica.compact)
 
     def _members(self) -> None:
-        """One step: a spare comes as a learner, or a voter goes."""
-        leader = self._at_leader()
+        """Change the members by one step: add a spare as a learner, or remove a voter."""
+        leader = self._current_leader()
         if leader is None:
             return
         config = leader.replica.core.config
-        if self.rng.random() < 0.2:   # more than a step: a member has to refuse it
+        if self.rng.random() < 0.2:   # more than one step: a member must refuse it
             names = self.rng.sample(self.names, self.rng.randrange(1, 4))
             wanted = Config(tuple(names))
         elif self._spares and self.rng.random() < 0.5 and not config.learners:
@@ -253,31 +255,31 @@
                 self.names.append(name)
             wanted = Config(config.voters, (name,))
         elif len(config.voters) > 2:
-            gone = self.rng.choice(config.voters)
-            wanted = Config(tuple(name for name in config.voters if name != gone), config.learners)
+            removed = self.rng.choice(config.voters)
+            wanted = Config(tuple(name for name in config.voters if name != removed), config.learners)
             if self.rng.random() < 0.5:
-                self._spares.append(gone)
+                self._spares.append(removed)
         else:
             return
-        self.moves += 1
-        leader.hear(0, leader.replica.reconfigure, leader.now(), wanted)
+        self.reconfigurations += 1
+        leader.invoke(0, leader.replica.reconfigure, leader.now(), wanted)
 
-    def _calm(self) -> None:
-        """Faults end: from now on the store must come back."""
-        self._loss = 0.0
+    def _end_faults(self) -> None:
+        """End all faults; from now on the store must recover."""
+        self._loss_probability = 0.0
         for one in self.names:
             for other in self.names:
-                self._way(one, other, -1000)
+                self._change_cuts(one, other, -1000)
         for member in self.members.values():
-            member.slow = 1.0
+            member.sync_factor = 1.0
             self._restart(member)
             member.stopped_until = min(member.stopped_until, self.loop.now + SECOND // 2)
 
     def run(self) -> Cluster:
-        """The whole history."""
+        """Play the complete history."""
         for second in range(1, int(self.end / SECOND) + 8):
-            self.loop.run(second * SECOND, MOST_EVENTS)
-            if self.loop.count >= MOST_EVENTS:
-                self.broken.append("it does not come to rest")
+            self.loop.run(second * SECOND, MAX_EVENTS)
+            if self.loop.events_handled >= MAX_EVENTS:
+                self.broken.append("the history does not terminate")
                 break
         return self
--- a/moleworks/rig/virtual/explore.py
+++ b/moleworks/rig/virtual/explore.py
@@ -1,8 +1,8 @@
-"""Exhaustive search of a small world of the store's core: every order of what can happen, within a budget.
+"""Exhaustive search of the states of a small store cluster: every order of events, within a budget.
 
-Three members, some writes, time-outs, one crash and one cut.  Links keep their order; a member that has something to
-write either gets it written or crashes with it, before anything else befalls it.  Looked at in each state: one leader a
-term, nothing committed twice, and every new leader has all that was committed.
+Three members, some writes, timeouts, one crash and one cut.  Links keep the order of messages.  A member with a pending
+write completes it or crashes before any other event.  Checked in each state: each term has one leader, no entry is
+committed twice with different content, and every new leader has all committed entries.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Budget(Struct, frozen=True):
-    """What may happen, and how often."""
+    """How often each event may happen."""
 
     timeouts: int = 2
     writes: int = 2
@@ -35,61 +35,62 @@
 
 
 class Found(Struct):
-    """What a search came to."""
+    """The result of a search."""
 
     states: int
     steps: int
     seconds: float
-    whole: bool             # every state within the budget was seen
+    whole: bool             # every state within the budget was visited
     broken: str = ""
     path: list[str] = []
 
 
-class _Even:
-    """In place of randomness: time-outs are chosen by the search."""
+class _FixedRandom:
+    """Replaces the random generator: the search itself chooses the timeouts."""
 
     def uniform(self, low: float, high: float) -> float:
         return low
 
 
 class World:
-    """One state: members, disks, what is on its way, what is left of the budget, and what was ever committed."""
+    """One state: members, disks, messages in flight, the remaining budget, and all entries ever committed."""
 
     def __init__(self, budget: Budget, core: type[Core]) -> None:
-        self.left = [budget.timeouts, budget.writes, budget.crashes, budget.cuts]
+        self.budget_left = [budget.timeouts, budget.writes, budget.crashes, budget.cuts]
         config = Config(NAMES)
         self.disks = {name: Disk(config) for name in NAMES}
-        self.cores = {name: core(name, Log(Snapshot(0, 0, config, b"")), 0, "", _Even(), 0)   # type: ignore[arg-type]
+        self.cores = {name: core(name, Log(Snapshot(0, 0, config, b"")), 0, "",
+                                 _FixedRandom(), 0)   # type: ignore[arg-type]
                       for name in NAMES}
         self.writes: dict[str, Write | None] = dict.fromkeys(NAMES)
         self.links: dict[tuple[str, str], list[Message]] = {}
-        self.cut = ""
+        self.isolated = ""
         self.leaders: dict[int, str] = {}
         self.committed: dict[int, tuple[int, bytes]] = {}
 
-    # ---- What can happen --------------------------------------------------------------------------------
+    # ---- Events ------------------------------------------------------------------------------------------
 
     def actions(self) -> list[tuple[Any, ...]]:
-        """Everything that may come next."""
+        """All events that are possible next."""
         busy = next((name for name in NAMES if self.writes[name] is not None), None)
         if busy is not None:
-            return [("written", busy)] + ([("crash", busy)] if self.left[2] else [])
+            return [("written", busy)] + ([("crash", busy)] if self.budget_left[2] else [])
         found: list[tuple[Any, ...]] = [("deliver", *pair) for pair in sorted(self.links)]
         for name in NAMES:
             core = self.cores[name]
             if core.role == LEADER:
-                if self.left[1]:
+                if self.budget_left[1]:
                     found.append(("propose", name))
-            elif self.left[0]:
+            elif self.budget_left[0]:
                 found.append(("timeout", name))
-            if self.left[2]:
+            if self.budget_left[2]:
                 found.append(("crash", name))
-            if self.left[3] and not self.cut:
+            if self.budget_left[3] and not self.isolated:
                 found.append(("cut", name))
         return found
 
     def act(self, action: tuple[Any, ...], sync: Callable[[Disk, Write], None]) -> None:
-        """Do one of them."""
+        """Perform one event."""
         kind, name = action[0], action[1]
         core = self.cores[name]
         if kind == "written":
@@ -105,23 +106,23 @@
             name = action[2]
             self.cores[name].on_message(0, action[1], message)
         elif kind == "propose":
-            self.left[1] -= 1
-            core.propose(0, f"w{self.left[1]}".encode())
+            self.budget_left[1] -= 1
+            core.propose(0, f"w{self.budget_left[1]}".encode())
         elif kind == "timeout":
-            self.left[0] -= 1
+            self.budget_left[0] -= 1
             for other in self.cores.values():
-                other._leader_contact_at = LONG_AGO   # time passes for all: who asks now may be answered
+                other._leader_contact_at = LONG_AGO   # time passes for all members, so they may grant a vote now
             core.tick(0)
         elif kind == "crash":
-            self.left[2] -= 1
+            self.budget_left[2] -= 1
             self.writes[name] = None
             disk = self.disks[name]
-            fresh = type(core)(name, disk.log(), disk.term, disk.vote, _Even(), 0)   # type: ignore[arg-type]
+            fresh = type(core)(name, disk.log(), disk.term, disk.vote, _FixedRandom(), 0)   # type: ignore[arg-type]
             fresh._leader_contact_at = LONG_AGO
             self.cores[name] = fresh
         else:
-            self.left[3] -= 1
-            self.cut = name
+            self.budget_left[3] -= 1
+            self.isolated = name
             self.links = {pair: queue for pair, queue in self.links.items() if name not in pair}
         self._drain(name)
 
@@ -131,15 +132,15 @@
         if out.write is not None:
             self.writes[name] = out.write
         for to, message in out.send:
-            if self.cut not in (name, to):
+            if self.isolated not in (name, to):
                 queue = self.links.setdefault((name, to), [])
                 if not queue or queue[-1] != message:
                     queue.append(message)
 
-    # ---- What must hold ---------------------------------------------------------------------------------
+    # ---- Invariants --------------------------------------------------------------------------------------
 
-    def broken(self) -> str:
-        """What must never be."""
+    def find_violation(self) -> str:
+        """The first violated invariant; empty: none."""
         for name, core in self.cores.items():
             for index in range(1, core.commit + 1):
                 entry = core.log.get(index)
@@ -154,7 +155,7 @@
         return ""
 
     def key(self) -> bytes:
-        """Two worlds of one key go on alike."""
+        """A key of the state; states with equal keys have the same successors."""
         cores = []
         for core in self.cores.values():
             peers = tuple((peer.next, peer.match, peer.probing, peer.inflight, peer.round)
@@ -169,31 +170,32 @@
         links = tuple(sorted((pair, tuple(queue)) for pair, queue in self.links.items()))
         writes = tuple(None if write is None else (write.term, write.vote, write.cut, tuple(write.entries))
                        for write in self.writes.values())
-        return pickle.dumps((cores, disks, links, writes, self.left, self.cut, sorted(self.committed.items()),
-                             sorted(self.leaders.items())))
+        return pickle.dumps((cores, disks, links, writes, self.budget_left, self.isolated,
+                             sorted(self.committed.items()), sorted(self.leaders.items())))
 
 
 def search(budget: Budget, core: type[Core] = Core, sync: Callable[[Disk, Write], None] = Disk.sync,
            most_states: int = 500_000, most_s: float = 600.0) -> Found:
-    """Breadth first, so that the path to an error is a shortest one."""
-    begun = time.perf_counter()
-    first = World(budget, core)
-    seen = {hash(first.key())}
-    queue: deque[tuple[bytes, tuple[str, ...]]] = deque([(pickle.dumps(first), ())])
+    """Search breadth first, so that the path to a violation is a shortest one."""
+    started_at = time.perf_counter()
+    initial = World(budget, core)
+    visited = {hash(initial.key())}
+    queue: deque[tuple[bytes, tuple[str, ...]]] = deque([(pickle.dumps(initial), ())])
     steps = 0
     while queue:
-        if len(seen) >= most_states or time.perf_counter() - begun > most_s:
-            return Found(len(seen), steps, time.perf_counter() - begun, False)
+        if len(visited) >= most_states or time.perf_counter() - started_at > most_s:
+            return Found(len(visited), steps, time.perf_counter() - started_at, False)
         image, path = queue.popleft()
         for action in pickle.loads(image).actions():
             world: World = pickle.loads(image)
             world.act(action, sync)
             steps += 1
-            here = (*path, " ".join(action))
-            if told := world.broken():
-                return Found(len(seen), steps, time.perf_counter() - begun, False, told, list(here))
+            path_to_state = (*path, " ".join(action))
+            if violation := world.find_violation():
+                return Found(len(visited), steps, time.perf_counter() - started_at, False, violation,
+                             list(path_to_state))
             key = hash(world.key())
-            if key not in seen:
-                seen.add(key)
-                queue.append((pickle.dumps(world), here))
-    return Found(len(seen), steps, time.perf_counter() - begun, True)
+            if key not in visited:
+                visited.add(key)
+                queue.append((pickle.dumps(world), path_to_state))
+    return Found(len(visited), steps, time.perf_counter() - started_at, True)
--- a/moleworks/rig/virtual/fleet.py
+++ b/moleworks/rig/virtual/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet in virtual time: hosts, gateways, callers and discovery on one loop, and the faults between them."""
+"""The fleet in virtual time: hosts, gateways, clients and discovery on one loop, with faults."""
 
 from __future__ import annotations
 
@@ -17,44 +17,44 @@
 from ..world import world_line
 from .discovery import Discovery
 from .faults import Faults
-from .gateway import Attempt, Gateway, Maker
+from .gateway import Attempt, DecisionsFactory, Gateway
 from .hosts import VirtualHost
-from .loop import Lane, Links, Loop
+from .loop import DeadlineQueue, Links, Loop
 
-GRACE_NS = 500_000_000
-"""A client waits so much longer than it said before the answer counts as lost."""
-FRONT_NS = (1_300_000_000, 3_000_000_000)
-"""The front notices so late that a gateway is dead (SITE front.notice_s)."""
-DRAIN_NS = 400_000_000
-"""After SIGTERM new connections go on coming for so long (PROTOCOL: 0.2 to 0.4 s)."""
+RESPONSE_GRACE_NS = 500_000_000
+"""How long after its timeout a client still waits before it records that there was no response."""
+FRONT_NOTICE_NS = (1_300_000_000, 3_000_000_000)
+"""The delay, from and to, after which the front notices that a gateway has ended (SITE front.notice_s)."""
+DRAIN_ACCEPT_NS = 400_000_000
+"""How long new connections still arrive after SIGTERM (PROTOCOL: 0.2 to 0.4 s)."""
 
 
-class Try:
-    """A client's try that is open."""
+class ClientRequest:
+    """An open request of a client: the first one or a retry."""
 
-    __slots__ = ("ask", "gateway", "origin", "over", "rid", "tries")
+    __slots__ = ("ask", "attempts", "done", "gateway", "origin", "rid")
 
-    def __init__(self, rid: int, origin: int, ask: plan.Ask, tries: int, gateway: Gateway) -> None:
+    def __init__(self, rid: int, origin: int, ask: plan.Ask, attempts: int, gateway: Gateway) -> None:
         self.rid = rid
         self.origin = origin
         self.ask = ask
-        self.tries = tries
+        self.attempts = attempts
         self.gateway = gateway
-        self.over = False
+        self.done = False
 
 
 class Fleet:
-    """One run.  `make` is the decision module, or a baseline in its place."""
+    """One run.  `make` creates the decision module, or a baseline in its place."""
 
-    def __init__(self, experiment: Experiment, places: Places, out: Path, make: Maker = Balancer) -> None:
+    def __init__(self, experiment: Experiment, places: Places, out: Path, make: DecisionsFactory = Balancer) -> None:
         self.experiment = experiment
         self.places = places
         self.make = make
         self.loop = Loop()
         self.rng = random.Random(f"network {experiment.seed}")
         self.links = Links(self.loop, random.Random(f"links {experiment.seed}"))
-        self.caller = plan.Caller(experiment)
-        self.tokens = 0
+        self.retry_policy = plan.Caller(experiment)
+        self.last_job_key = 0
         self.class_names = [item.name for item in experiment.world.classes]
         self._writer = history.Writer(out / "history.jsonl")
         self.record = self._writer.add
@@ -78,204 +78,208 @@
         self.faults = Faults(self, timeline(experiment, places))
         self._rids = 0
         self._asks: Iterator[plan.Ask] = plan.asks(experiment, places)
-        self._open: dict[int, Try] = {}
-        self._patience = [Lane(self.loop, self._impatient) for _ in self.class_names]
+        self._open: dict[int, ClientRequest] = {}
+        self._response_deadlines = [DeadlineQueue(self.loop, self._on_no_response) for _ in self.class_names]
 
     # ---- Running --------------------------------------------------------------------------------------
 
     def run(self) -> None:
-        """To the end: the planned length, and what is left after it."""
-        self._next()
+        """Run for the planned duration and until the requests open at its end are done."""
+        self._schedule_next()
         end = int(self.experiment.duration_s * 1e9)
-        longest = max(int(item.deadline_ms * 1e6) for item in self.experiment.world.classes)
-        self.loop.run(end + longest + 2 * GRACE_NS)
+        max_deadline_ns = max(int(item.deadline_ms * 1e6) for item in self.experiment.world.classes)
+        self.loop.run(end + max_deadline_ns + 2 * RESPONSE_GRACE_NS)
         for host in self.hosts.values():
-            host.touch()
+            host.advance()
         self._writer.close()
 
-    def _next(self) -> None:
+    def _schedule_next(self) -> None:
         ask = next(self._asks, None)
         if ask is not None:
-            self.loop.at(ask.at_ns, self._planned, ask)
+            self.loop.call_at(ask.at_ns, self._send_planned, ask)
 
-    def _planned(self, ask: plan.Ask) -> None:
-        self._next()
-        self._try(ask, self._rids + 1, 1, ask.ttl_ns, False)
+    def _send_planned(self, ask: plan.Ask) -> None:
+        self._schedule_next()
+        self._send_request(ask, self._rids + 1, 1, ask.ttl_ns, False)
 
-    def _try(self, ask: plan.Ask, origin: int, tries: int, ttl: int, repeat: bool) -> None:
-        """A client's first or later try."""
+    def _send_request(self, ask: plan.Ask, origin: int, attempts: int, ttl: int, is_retry: bool) -> None:
+        """Send the first request of a client or a retry."""
         self._rids += 1
         rid = self._rids
         now = self.loop.now
         gateway = self._pick(ask.zone)
-        held = self._open[rid] = Try(rid, origin, ask, tries, gateway)
+        client_request = self._open[rid] = ClientRequest(rid, origin, ask, attempts, gateway)
         self.record(history.Ask(now, rid, origin, gateway.name, ask.cls, ttl))
         delay = self._client_delay()
-        if not gateway.alive or gateway.draining or not self.links.open(CLIENTS, gateway.name):
-            self.loop.at(now + 2 * delay, self._seen, rid, "unreachable", 0, 0)
+        if not gateway.alive or gateway.draining or not self.links.can_connect(CLIENTS, gateway.name):
+            self.loop.call_at(now + 2 * delay, self._on_result, rid, "unreachable", 0, 0)
             return
-        self.links.stream(CLIENTS, gateway.name, delay, self._arrived, gateway, rid, ask, ttl, repeat)
-        self._patience[ask.cls].add(now + ttl + GRACE_NS, held)
+        self.links.send_stream(CLIENTS, gateway.name, delay, self._on_request_arrived, gateway, rid, ask, ttl, is_retry)
+        self._response_deadlines[ask.cls].add(now + ttl + RESPONSE_GRACE_NS, client_request)
         if ask.leaves_ns:
-            self.loop.at(now + ask.leaves_ns, self._leaves, held)
+            self.loop.call_at(now + ask.leaves_ns, self._on_client_leaves, client_request)
 
-    def _arrived(self, gateway: Gateway, rid: int, ask: plan.Ask, ttl: int, repeat: bool) -> None:
+    def _on_request_arrived(self, gateway: Gateway, rid: int, ask: plan.Ask, ttl: int, is_retry: bool) -> None:
         if gateway.alive:
-            gateway.hear(gateway.take, rid, ask.cls, ask.work_ns, ttl, repeat)
+            gateway.invoke(gateway.on_request_arrived, rid, ask.cls, ask.work_ns, ttl, is_retry)
         else:
-            self._seen(rid, "unreachable", 0, 0)
-
-    def _leaves(self, held: Try) -> None:
-        if not held.over:
-            self._seen(held.rid, "left", 0, 0)
-            gateway = held.gateway
-            self.links.stream(CLIENTS, gateway.name, self._client_delay(), gateway.hear, gateway.gone, held.rid)
-
-    def _impatient(self, held: Try) -> None:
-        self._seen(held.rid, "none", 0, 0)
-        held.gateway.hear(held.gateway.gone, held.rid)
-
-    def answer(self, gateway: Gateway, rid: int, how: str, by: int, retry_after_ns: int) -> None:
-        """A gateway's final answer goes to its client."""
-        self.links.stream(gateway.name, CLIENTS, self._client_delay(), self._seen, rid, how, by, retry_after_ns)
-
-    def broken(self, clients: list[int]) -> None:
-        """A gateway has died under these clients."""
+            self._on_result(rid, "unreachable", 0, 0)
+
+    def _on_client_leaves(self, client_request: ClientRequest) -> None:
+        if not client_request.done:
+            self._on_result(client_request.rid, "left", 0, 0)
+            gateway = client_request.gateway
+            self.links.send_stream(CLIENTS, gateway.name, self._client_delay(), gateway.invoke, gateway.on_client_left,
+                                   client_request.rid)
+
+    def _on_no_response(self, client_request: ClientRequest) -> None:
+        self._on_result(client_request.rid, "none", 0, 0)
+        client_request.gateway.invoke(client_request.gateway.on_client_left, client_request.rid)
+
+    def send_response(self, gateway: Gateway, rid: int, result: str, by: int, retry_after_ns: int) -> None:
+        """Send the final response of a gateway to the client."""
+        self.links.send_stream(gateway.name, CLIENTS, self._client_delay(), self._on_result, rid, result, by,
+                               retry_after_ns)
+
+    def on_connections_broken(self, clients: list[int]) -> None:
+        """The connections of these requests broke when their gateway ended."""
         for rid in clients:
-            self.loop.at(self.loop.now + self._client_delay(), self._seen, rid, "cut", 0, 0)
+            self.loop.call_at(self.loop.now + self._client_delay(), self._on_result, rid, "cut", 0, 0)
 
-    def _seen(self, rid: int, how: str, by: int, retry_after_ns: int) -> None:
-        """What the client sees of its try; it may try again."""
-        held = self._open.pop(rid, None)
-        if held is None:
+    def _on_result(self, rid: int, result: str, by: int, retry_after_ns: int) -> None:
+        """Record the result of a request as its client sees it, and schedule a retry if the client makes one."""
+        client_request = self._open.pop(rid, None)
+        if client_request is None:
             return
-        held.over = True
-        ask, now = held.ask, self.loop.now
-        self.record(history.Answer(now, rid, how, by))
-        if how in ("served", "none", "left"):
+        client_request.done = True
+        ask, now = client_request.ask, self.loop.now
+        self.record(history.Answer(now, rid, result, by))
+        if result in ("served", "none", "left"):
             return
-        spent = now - ask.at_ns
-        kind = "failed" if how == "cut" else how
-        wait = self.caller.after(ask.cls, held.tries, kind, retry_after_ns, spent)
-        if wait >= 0:
-            left = int(self.experiment.world.classes[ask.cls].deadline_ms * 1e6) - spent - wait
-            self.loop.at(now + wait, self._try, ask, held.origin, held.tries + 1,
-                         min(ask.ttl_ns, left), True)
+        elapsed_ns = now - ask.at_ns
+        kind = "failed" if result == "cut" else result
+        backoff_ns = self.retry_policy.after(ask.cls, client_request.attempts, kind, retry_after_ns, elapsed_ns)
+        if backoff_ns >= 0:
+            time_left_ns = int(self.experiment.world.classes[ask.cls].deadline_ms * 1e6) - elapsed_ns - backoff_ns
+            self.loop.call_at(now + backoff_ns, self._send_request, ask, client_request.origin,
+                              client_request.attempts + 1, min(ask.ttl_ns, time_left_ns), True)
 
     def _pick(self, zone: int) -> Gateway:
-        """The front's choice: a gateway of the zone that it holds for alive, else any, else the zone's first."""
+        """The front's choice at random: a ready gateway of the zone, else any ready one, else any of the zone."""
         return self.gateways[self.rng.choice(self._choices[zone])]
 
     def set_front(self, name: str, ready: bool) -> None:
-        """What the front holds of a gateway."""
+        """Set whether the front considers a gateway ready."""
         self.front[name] = ready
-        everyone = [other for other, up in self.front.items() if up]
+        all_ready = [other for other, up in self.front.items() if up]
         self._choices = {}
         for zone in range(len(self.places.zones)):
             own = [other for other, place in self.places.gateways.items() if place.zone == zone]
-            self._choices[zone] = [other for other in own if self.front.get(other)] or everyone or own
+            self._choices[zone] = [other for other in own if self.front.get(other)] or all_ready or own
 
     # ---- Gateways --------------------------------------------------------------------------------------
 
     def start_gateway(self, name: str) -> None:
-        """A process starts under this name, knowing the list as it is and nothing else."""
+        """Start a gateway process under this name; it has the current host list and no other state."""
         number = int(name[1:])
         self._starts += 1
-        told = parse_settings(json.dumps(settings.settings(self.experiment, self.places, number)).encode())
+        gateway_settings = parse_settings(json.dumps(settings.settings(self.experiment, self.places, number)).encode())
         salt = random.Random(f"salt {name} {self._starts} {self.experiment.seed}").getrandbits(62)
-        gateway = Gateway(self, name, self.places.gateways[name].zone, told, salt, self.make)
+        gateway = Gateway(self, name, self.places.gateways[name].zone, gateway_settings, salt, self.make)
         self.gateways[name] = gateway
         self.set_front(name, True)
         self.record(history.GatewayEvent(self.loop.now, name, "up"))
-        self.discovery.greet(gateway)
+        self.discovery.send_initial_list(gateway)
 
     def kill_gateway(self, name: str) -> None:
-        """It dies; the front notices later."""
+        """End a gateway process at once; the front notices later."""
         gateway = self.gateways[name]
         if gateway.alive:
             self.record(history.GatewayEvent(self.loop.now, name, "down"))
-            self.broken(gateway.die())
+            self.on_connections_broken(gateway.kill())
             self.discovery.unwatch(gateway)
-            self.loop.at(self.loop.now + self.rng.randrange(*FRONT_NS), self._notice, gateway)
+            self.loop.call_at(self.loop.now + self.rng.randrange(*FRONT_NOTICE_NS), self._on_down_noticed, gateway)
 
-    def _notice(self, gateway: Gateway) -> None:
+    def _on_down_noticed(self, gateway: Gateway) -> None:
         if not gateway.alive and self.gateways[gateway.name] is gateway:
             self.set_front(gateway.name, False)
 
     def drain_gateway(self, name: str) -> None:
-        """SIGTERM: readiness says no, new requests come for a while yet, what is held is answered."""
+        """Handle SIGTERM: the gateway turns unready, accepts requests for DRAIN_ACCEPT_NS and ends its open ones."""
         gateway = self.gateways[name]
         self.record(history.GatewayEvent(self.loop.now, name, "drain"))
         self.set_front(name, False)
-        self.loop.at(self.loop.now + DRAIN_NS, self._drained, gateway)
+        self.loop.call_at(self.loop.now + DRAIN_ACCEPT_NS, self._end_when_drained, gateway)
 
-    def _drained(self, gateway: Gateway) -> None:
+    def _end_when_drained(self, gateway: Gateway) -> None:
         gateway.draining = True
-        if not gateway.held:
+        if not gateway.open_requests:
             if gateway.alive:
                 if self.gateways[gateway.name] is gateway:
                     self.record(history.GatewayEvent(self.loop.now, gateway.name, "down"))
-                gateway.die()
+                gateway.kill()
                 self.discovery.unwatch(gateway)
         else:
-            self.loop.at(self.loop.now + 10_000_000, self._drained, gateway)
+            self.loop.call_at(self.loop.now + 10_000_000, self._end_when_drained, gateway)
 
-    def tell(self, gateway: Gateway, peer: int | None, content: bytes) -> None:
-        """A datagram between gateways."""
+    def send_peer_message(self, gateway: Gateway, peer: int | None, content: bytes) -> None:
+        """Send a datagram to one other gateway, or to all of them."""
         number = int(gateway.name[1:])
         for other in self.gateways.values():
             if other is not gateway and (peer is None or other.name == f"n{peer}"):
-                self.links.packets(gateway.name, other.name, self.delay(gateway.zone, other.zone), len(content),
-                                   other.hear, other.on_peer, number, content)
+                self.links.send_datagram(gateway.name, other.name, self.delay(gateway.zone, other.zone), len(content),
+                                         other.invoke, other.on_peer, number, content)
 
-    # ---- The network to hosts --------------------------------------------------------------------------
+    # ---- The network between gateways and hosts --------------------------------------------------------
 
-    def delay(self, one: int, other: int) -> int:
-        """One way, ns."""
-        return int(self._delays[one != other] * self.rng.uniform(1 - self._jitter, 1 + self._jitter))
+    def delay(self, zone: int, other: int) -> int:
+        """A one-way delay between two zones, ns."""
+        return int(self._delays[zone != other] * self.rng.uniform(1 - self._jitter, 1 + self._jitter))
 
     def _client_delay(self) -> int:
         return int(self._delays[2] * self.rng.uniform(1 - self._jitter, 1 + self._jitter))
 
     def dispatch(self, gateway: Gateway, attempt: Attempt) -> None:
-        """An attempt leaves on an idle connection, or opens one."""
+        """Send an attempt on an idle connection, or on a new one."""
         host, now = self.hosts[attempt.host], self.loop.now
         delay = self.delay(gateway.zone, host.zone)
         idle = gateway.idle.get(attempt.host)
         while idle:
-            since = idle.pop()
-            if now - since < self._idle_ns:
-                self.links.stream(gateway.name, host.name, delay, host.arrive, gateway, attempt)
+            idle_since = idle.pop()
+            if now - idle_since < self._idle_ns:
+                self.links.send_stream(gateway.name, host.name, delay, host.on_attempt_arrived, gateway, attempt)
                 return
             host.connections -= 1
-        attempt.fresh = True
+        attempt.new_connection = True
         host.connections += 1
-        if host.silent or not self.links.open(gateway.name, host.name):
-            self.loop.at(now + self._connect_ns, gateway.hear, gateway.ended, attempt, Outcome.CONNECT_FAILED)
-        elif not host.model.up or host.connections > host.most_connections:
-            self.loop.at(now + 2 * delay, gateway.hear, gateway.ended, attempt, Outcome.CONNECT_FAILED)
+        if host.silent or not self.links.can_connect(gateway.name, host.name):
+            self.loop.call_at(now + self._connect_ns, gateway.invoke, gateway.on_attempt_ended, attempt,
+                              Outcome.CONNECT_FAILED)
+        elif not host.model.up or host.connections > host.max_connections:
+            self.loop.call_at(now + 2 * delay, gateway.invoke, gateway.on_attempt_ended, attempt,
+                              Outcome.CONNECT_FAILED)
         else:
-            self.links.stream(gateway.name, host.name, 3 * delay, host.arrive, gateway, attempt)
+            self.links.send_stream(gateway.name, host.name, 3 * delay, host.on_attempt_arrived, gateway, attempt)
 
-    def disconnected(self, host: str) -> None:
+    def on_disconnected(self, host: str) -> None:
         """A gateway has closed a connection."""
         self.hosts[host].connections -= 1
 
-    def forget_idle(self, host: str) -> None:
-        """A host has gone: the idle connections to it are known to be dead."""
+    def drop_idle(self, host: str) -> None:
+        """Close the idle connections of all gateways to a host that has gone down."""
         for gateway in self.gateways.values():
             self.hosts[host].connections -= len(gateway.idle.pop(host, []))
 
-    def left(self, gateway: Gateway, attempt: Attempt) -> None:
-        """A gateway waits no longer for an attempt: the host hears so."""
+    def cancel_attempt(self, gateway: Gateway, attempt: Attempt) -> None:
+        """Notify the host that a gateway no longer waits for an attempt."""
         host = self.hosts[attempt.host]
         if attempt.key and attempt.request is not None:
             self.record(history.Left(self.loop.now, host.name, attempt.key))
-        self.links.stream(gateway.name, host.name, self.delay(gateway.zone, host.zone), self._hears_left, host,
-                          attempt)
+        self.links.send_stream(gateway.name, host.name, self.delay(gateway.zone, host.zone), self._on_attempt_cancelled,
+                               host, attempt)
 
-    def _hears_left(self, host: VirtualHost, attempt: Attempt) -> None:
+    def _on_attempt_cancelled(self, host: VirtualHost, attempt: Attempt) -> None:
         if attempt.key in host.jobs:
-            host.touch()
+            host.advance()
             if host.model.withdraw(attempt.key):
                 host.jobs.pop(attempt.key, None)
--- a/moleworks/rig/virtual/gateway.py
+++ b/moleworks/rig/virtual/gateway.py
@@ -1,6 +1,6 @@
 """A gateway in virtual time: the decision module with the request table of `gateway/core.py`, without sockets.
 
-It takes no decision.  Actions act at once; what they cause comes later through the fleet's loop.
+The gateway makes no decisions.  Actions take effect at once; their consequences are events of the fleet's loop.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
     Settings,
 )
 
-from .loop import Lane
+from .loop import DeadlineQueue
 
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-Maker = Callable[[Settings, int, Actions], Decisions]
-MARGIN = 6 * MS
-"""What core.py keeps back of a client's time."""
-LAST_CALL = 3 * MS
-SILENT_NS = 4_000_000_000
-PROBE_NS = 1_000_000_000
+DecisionsFactory = Callable[[Settings, int, Actions], Decisions]
+RESPONSE_MARGIN_NS = 6 * MS
+"""The part of a client's timeout that gateway/core.py reserves for the response."""
+FINAL_RESPONSE_MARGIN_NS = 3 * MS
+DISCOVERY_SILENCE_TIMEOUT_NS = 4_000_000_000
+PROBE_TIMEOUT_NS = 1_000_000_000
 
 
 class Request:
-    """A request that is held."""
+    """An open request."""
 
-    __slots__ = ("attempts", "cls", "deadline", "out", "over", "rid", "work")
+    __slots__ = ("attempts", "cls", "deadline", "done", "in_flight", "rid", "work")
 
     def __init__(self, rid: int, cls: int, work: float, deadline: int) -> None:
         self.rid = rid
@@ -44,37 +44,38 @@
         self.work = work
         self.deadline = deadline
         self.attempts = 0
-        self.out: dict[int, Attempt] = {}
-        self.over = False   # answered, or its client has gone
+        self.in_flight: dict[int, Attempt] = {}
+        self.done = False   # a response was sent, or the client has disconnected
 
 
 class Attempt:
     """An attempt or, without a request, a probe."""
 
-    __slots__ = ("due", "ended", "fresh", "host", "key", "number", "over", "request", "started")
+    __slots__ = ("done", "ended_at", "expires_at", "host", "key", "new_connection", "number", "request", "started_at")
 
-    def __init__(self, request: Request | None, number: int, host: str, started: int, due: int) -> None:
+    def __init__(self, request: Request | None, number: int, host: str, started_at: int, expires_at: int) -> None:
         self.request = request
         self.number = number
         self.host = host
-        self.started = started
-        self.due = due
-        self.over = False
-        self.ended = -1       # when it was over
-        self.key = 0          # the host's token for it, once it has come there
-        self.fresh = False    # it opened a connection
+        self.started_at = started_at
+        self.expires_at = expires_at
+        self.done = False
+        self.ended_at = -1           # time at which the attempt ended; -1 while it is in flight
+        self.key = 0                 # the host's number for the attempt, once it has arrived there; 0: not yet
+        self.new_connection = False  # the attempt opened a new connection
 
 
 class Gateway:
-    """One process: dead it hears nothing, stopped it hears all of it later."""
+    """A gateway process: it receives nothing once it has ended, and if suspended, everything when it resumes."""
 
-    def __init__(self, fleet: Fleet, name: str, zone: int, settings: Settings, salt: int, make: Maker) -> None:
+    def __init__(self, fleet: Fleet, name: str, zone: int, settings: Settings, salt: int,
+                 make_decisions: DecisionsFactory) -> None:
         self._fleet = fleet
         self._loop = fleet.loop
         self.name = name
         self.zone = zone
         self._settings = settings
-        self._most = settings.limits.max_attempts
+        self._max_attempts = settings.limits.max_attempts
         self.alive = True
         self.draining = False
         self.stopped_until = 0
@@ -84,23 +85,23 @@
         self.watching = False
         self.generation = 0
         self.idle: dict[str, list[int]] = {}
-        """Idle connections by host: since when each has been."""
-        self._lanes = [Lane(self._loop, self._late) for _ in settings.classes]
-        self._module = make(settings, salt, self)
+        """Idle connections by host: the time since which each has been idle."""
+        self._deadlines = [DeadlineQueue(self._loop, self._on_deadline) for _ in settings.classes]
+        self._module = make_decisions(settings, salt, self)
 
-    # ---- What the fleet tells -----------------------------------------------------------------------
+    # ---- Events from the fleet ----------------------------------------------------------------------
 
-    def hear(self, call: Callable[..., None], *fields: Any) -> None:
-        """Something reaches the process: now, once it goes on, or never."""
+    def invoke(self, call: Callable[..., None], *fields: Any) -> None:
+        """Run a call in the process: now, after a suspended process resumes, or never."""
         if not self.alive:
             return
         if self.stopped_until > self._loop.now:
-            self._loop.at(self.stopped_until, self.hear, call, *fields)
+            self._loop.call_at(self.stopped_until, self.invoke, call, *fields)
             return
         call(*fields)
 
-    def _event(self, call: Callable[..., None], *fields: Any) -> None:
-        """The module is never called from within itself."""
+    def _queue_event(self, call: Callable[..., None], *fields: Any) -> None:
+        """Queue an event, so that the decision module is never called from within one of its own calls."""
         self._events.append((call, fields))
         if self._busy:
             return
@@ -112,102 +113,103 @@
         finally:
             self._busy = False
 
-    def take(self, rid: int, cls: int, work: float, ttl: int, repeat: bool) -> None:
-        """A client's request has come."""
+    def on_request_arrived(self, rid: int, cls: int, work: float, ttl: int, is_retry: bool) -> None:
+        """A client's request has arrived."""
         now = self._loop.now
-        told = max(ttl - MARGIN, ttl // 2)
-        request = Request(rid, cls, work, now + told)
+        time_left_ns = max(ttl - RESPONSE_MARGIN_NS, ttl // 2)
+        request = Request(rid, cls, work, now + time_left_ns)
         self._requests[rid] = request
-        self._lanes[cls].add(now + max(ttl - LAST_CALL, ttl * 3 // 4), request)
-        self._event(self._module.on_request, rid, cls, 0, 0, told, 0, repeat)
+        self._deadlines[cls].add(now + max(ttl - FINAL_RESPONSE_MARGIN_NS, ttl * 3 // 4), request)
+        self._queue_event(self._module.on_request, rid, cls, 0, 0, time_left_ns, 0, is_retry)
 
-    def gone(self, rid: int) -> None:
-        """The client has left."""
+    def on_client_left(self, rid: int) -> None:
+        """The client has disconnected."""
         request = self._requests.get(rid)
-        if request is not None and not request.over:
-            request.over = True
-            self._event(self._module.on_client_disconnected, rid)
+        if request is not None and not request.done:
+            request.done = True
+            self._queue_event(self._module.on_client_disconnected, rid)
             self._finish(request)
 
-    def listed(self, kind: ListKind, entries: list[HostEntry], generation: int) -> None:
-        """Discovery has spoken."""
+    def on_list_received(self, kind: ListKind, entries: list[HostEntry], generation: int) -> None:
+        """Discovery has sent a list or an update, or a call to it has failed."""
         if kind is not ListKind.FAILED:
             self.generation = generation
         else:
             self.watching = False
-        self._event(self._module.on_list, kind, entries)
+        self._queue_event(self._module.on_list, kind, entries)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = (), keep: bool = False) -> None:
-        """An attempt has ended.  The first that is served answers its client on its own."""
-        if attempt.over:
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, load: Sequence[float] = (),
+                         keep_connection: bool = False) -> None:
+        """An attempt has ended.  The first successful one sends the response without asking the decision module."""
+        if attempt.done:
             return
-        attempt.over = True
-        now = attempt.ended = self._loop.now
-        if keep:
+        attempt.done = True
+        now = attempt.ended_at = self._loop.now
+        if keep_connection:
             self.idle.setdefault(attempt.host, []).append(now)
         else:
-            self._fleet.disconnected(attempt.host)
-        spent = max(1, now - attempt.started)
+            self._fleet.on_disconnected(attempt.host)
+        elapsed_ns = max(1, now - attempt.started_at)
         request = attempt.request
         if request is None:
-            self._event(self._module.on_probe_result, attempt.host, outcome, spent, load)
+            self._queue_event(self._module.on_probe_result, attempt.host, outcome, elapsed_ns, load)
             return
-        request.out.pop(attempt.number, None)
-        if outcome is Outcome.OK and not request.over:
-            request.over = True
-            self._fleet.answer(self, request.rid, "served", attempt.key, 0)
-        settled = request.over
-        self._event(self._module.on_outcome, request.rid, attempt.number, attempt.host, outcome, spent, settled,
-                    load)
-        if settled:
+        request.in_flight.pop(attempt.number, None)
+        if outcome is Outcome.OK and not request.done:
+            request.done = True
+            self._fleet.send_response(self, request.rid, "served", attempt.key, 0)
+        request_ended = request.done
+        self._queue_event(self._module.on_outcome, request.rid, attempt.number, attempt.host, outcome,
+                          elapsed_ns, request_ended, load)
+        if request_ended:
             self._finish(request)
 
     def _expire(self, attempt: Attempt) -> None:
-        if not attempt.over:
-            self._fleet.left(self, attempt)
-            self.ended(attempt, Outcome.TIMEOUT)
+        if not attempt.done:
+            self._fleet.cancel_attempt(self, attempt)
+            self.on_attempt_ended(attempt, Outcome.TIMEOUT)
 
-    def _late(self, request: Request) -> None:
-        self.hear(self._last_call, request)
+    def _on_deadline(self, request: Request) -> None:
+        self.invoke(self._fail_at_deadline, request)
 
-    def _last_call(self, request: Request) -> None:
-        if not request.over:
-            self._answer(request, "failed", 0)
-            self._event(self._module.on_client_disconnected, request.rid)
+    def _fail_at_deadline(self, request: Request) -> None:
+        if not request.done:
+            self._respond(request, "failed", 0)
+            self._queue_event(self._module.on_client_disconnected, request.rid)
             self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        for attempt in list(request.out.values()):
-            self._fleet.left(self, attempt)
-            self.ended(attempt, Outcome.CANCELLED)
-        if not request.out:
+        for attempt in list(request.in_flight.values()):
+            self._fleet.cancel_attempt(self, attempt)
+            self.on_attempt_ended(attempt, Outcome.CANCELLED)
+        if not request.in_flight:
             self._requests.pop(request.rid, None)
 
-    def _answer(self, request: Request, how: str, retry_after_ns: int) -> None:
-        request.over = True
-        self._fleet.answer(self, request.rid, how, 0, retry_after_ns)
+    def _respond(self, request: Request, result: str, retry_after_ns: int) -> None:
+        request.done = True
+        self._fleet.send_response(self, request.rid, result, 0, retry_after_ns)
 
-    def die(self) -> list[int]:
-        """The process ends at once; returns the clients whose connections break."""
+    def kill(self) -> list[int]:
+        """End the process at once; returns the requests whose client connections break."""
         self.alive = False
-        broken = []
+        broken_requests = []
         for request in list(self._requests.values()):
-            if not request.over:
-                broken.append(request.rid)
-            for attempt in request.out.values():
-                attempt.over, attempt.ended = True, self._loop.now
-                self._fleet.left(self, attempt)
-                self._fleet.disconnected(attempt.host)
+            if not request.done:
+                broken_requests.append(request.rid)
+            for attempt in request.in_flight.values():
+                attempt.done, attempt.ended_at = True, self._loop.now
+                self._fleet.cancel_attempt(self, attempt)
+                self._fleet.on_disconnected(attempt.host)
         self._requests.clear()
         for host, idle in self.idle.items():
             for _ in idle:
-                self._fleet.disconnected(host)
+                self._fleet.on_disconnected(host)
         self.idle.clear()
-        return broken
+        return broken_requests
 
     @property
-    def held(self) -> int:
-        """Requests in the table."""
+    def open_requests(self) -> int:
+        """The number of requests in the request table."""
         return len(self._requests)
 
     # ---- Actions of api.py --------------------------------------------------------------------------
@@ -219,39 +221,39 @@
         number = request.attempts
         request.attempts += 1
         now = self._loop.now
-        due = min(now + timeout_ns, request.deadline) if timeout_ns else request.deadline
-        attempt = Attempt(request, number, str(host), now, due)
-        if request.over or number >= self._most:
-            self._event(self._module.on_outcome, rid, number, host, Outcome.MOOT, 1, request.over, ())
+        expires_at = min(now + timeout_ns, request.deadline) if timeout_ns else request.deadline
+        attempt = Attempt(request, number, str(host), now, expires_at)
+        if request.done or number >= self._max_attempts:
+            self._queue_event(self._module.on_outcome, rid, number, host, Outcome.MOOT, 1, request.done, ())
             return
-        request.out[number] = attempt
-        self._loop.at(due, self.hear, self._expire, attempt)
+        request.in_flight[number] = attempt
+        self._loop.call_at(expires_at, self.invoke, self._expire, attempt)
         self._fleet.dispatch(self, attempt)
 
     def fail(self, rid: int) -> None:
         request = self._requests.get(rid)
-        if request is not None and not request.over:
-            self._answer(request, "failed", 0)
+        if request is not None and not request.done:
+            self._respond(request, "failed", 0)
             self._finish(request)
 
     def refuse(self, rid: int, retry_after_ns: int) -> None:
         request = self._requests.get(rid)
-        if request is not None and not request.over:
-            self._answer(request, "refused", retry_after_ns)
+        if request is not None and not request.done:
+            self._respond(request, "refused", retry_after_ns)
             self._finish(request)
 
     def cancel(self, rid: int, attempt: int) -> None:
         request = self._requests.get(rid)
-        found = request.out.get(attempt) if request is not None else None
+        found = request.in_flight.get(attempt) if request is not None else None
         if found is not None:
-            self._fleet.left(self, found)
-            self.ended(found, Outcome.CANCELLED)
+            self._fleet.cancel_attempt(self, found)
+            self.on_attempt_ended(found, Outcome.CANCELLED)
 
     def wake(self, token: int, after_ns: int) -> None:
-        self._loop.at(self._loop.now + after_ns, self.hear, self._ring, token)
+        self._loop.call_at(self._loop.now + after_ns, self.invoke, self._on_timer, token)
 
-    def _ring(self, token: int) -> None:
-        self._event(self._module.on_timer, token)
+    def _on_timer(self, token: int) -> None:
+        self._queue_event(self._module.on_timer, token)
 
     def watch(self, active: bool) -> None:
         if active and not self.watching:
@@ -266,20 +268,20 @@
 
     def probe(self, host: HostId) -> None:
         now = self._loop.now
-        attempt = Attempt(None, 0, str(host), now, now + PROBE_NS)
-        self._loop.at(attempt.due, self.hear, self._expire, attempt)
+        attempt = Attempt(None, 0, str(host), now, now + PROBE_TIMEOUT_NS)
+        self._loop.call_at(attempt.expires_at, self.invoke, self._expire, attempt)
         self._fleet.dispatch(self, attempt)
 
     def close(self, host: HostId) -> None:
         for _ in self.idle.pop(str(host), []):
-            self._fleet.disconnected(str(host))
+            self._fleet.on_disconnected(str(host))
 
     def send_peer_message(self, peer: int | None, content: bytes) -> None:
-        self._fleet.tell(self, peer, content)
+        self._fleet.send_peer_message(self, peer, content)
 
     def on_peer(self, peer: int, content: bytes) -> None:
-        """A peer has sent a message."""
-        self._event(self._module.on_peer_message, peer, content)
+        """A peer gateway has sent a message."""
+        self._queue_event(self._module.on_peer_message, peer, content)
 
     def log(self, text: str) -> None:
         pass
--- a/moleworks/rig/virtual/gossip.py
+++ b/moleworks/rig/virtual/gossip.py
@@ -1,7 +1,8 @@
-"""Members that share state, in virtual time under faults, and what is recorded of them.
+"""Members of a gossip group in virtual time under faults, and the checks of their shared state.
 
-One seed, one history.  Datagrams are lost, late, copied and out of order; the fleet is cut in two or one way; members
-stop for a while, end for good, or come back under their names with nothing.  Clocks run 1 in 100 apart.
+Each seed gives one history.  Datagrams are lost, delayed, duplicated and reordered; the group is partitioned in both
+directions or one; members are suspended, end for good, or restart under their names without state.  Clock rates
+differ from the true rate by up to 1 in 100.
 """
 
 from __future__ import annotations
@@ -20,32 +21,32 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-FLEET = 7
-MORE = 30 * SECOND
-"""At a loss of 30% members are at times taken for gone at the very end: so long they may take to come together."""
+FLEET_ID = 7
+MAX_CONVERGENCE_NS = 30 * SECOND
+"""The time to converge after the end: at a loss of 30%, members may still be suspected dead when the history ends."""
 FAULTS = ("cut", "cut", "one_way", "stop", "end", "reborn", "reborn")
 
 
 class Settings(Struct):
-    """The size of a history."""
+    """The size and the conditions of a history."""
 
     members: int = 5
     seconds: float = 40.0
     calm_s: float = 25.0
-    loss: float = -1.0           # -1: drawn
+    loss: float = -1.0           # probability; -1: drawn at random
     faults: bool = True
-    writes_per_s: float = 0.5    # of each owner
+    writes_per_s: float = 0.5    # for each owner
     core: type[Core] = Core
 
 
 class Node:
-    """One member's process, clock and link."""
+    """The process, clock and network access of one member."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name = fleet, name
-        self.rate = 1.0 + fleet.rng.uniform(-0.01, 0.01)
+        self.clock_rate = 1.0 + fleet.rng.uniform(-0.01, 0.01)
         self._offset = fleet.rng.randrange(10 * SECOND)
-        self.life = 0
+        self.incarnation = 0
         self.alive = False
         self.stopped_until = 0
         self.sent_bytes = 0
@@ -53,13 +54,13 @@
         self.start()
 
     def now(self) -> int:
-        """By its own clock."""
-        return self._offset + int(self.fleet.loop.now * self.rate)
+        """The time of the member's own clock, ns."""
+        return self._offset + int(self.fleet.loop.now * self.clock_rate)
 
     def start(self) -> None:
-        """A process with nothing but its name and seeds."""
+        """Start a process that has only its name and seed members."""
         fleet = self.fleet
-        self.life += 1
+        self.incarnation += 1
         self.alive = True
         rng = random.Random(fleet.rng.getrandbits(32))
         self.core = fleet.settings.core(self.name, self.name, self.now(), rng, self._send)
@@ -67,26 +68,26 @@
         self.core.join(self.now(), [(seed, seed) for seed in seeds])
         for key in ("k0", "k1"):
             self.put(key)
-        self._ring(self.life)
+        self._on_timer(self.incarnation)
 
     def put(self, key: str) -> None:
-        """A new value; its number grows over all lives of the name."""
-        number = self.fleet.written(self.name, key)
+        """Write a new value: a number that increases over all incarnations of the name."""
+        number = self.fleet.record_write(self.name, key)
         self.core.values.put(key, str(number).encode())
 
-    def _ring(self, life: int) -> None:
-        if not self.alive or life != self.life:
+    def _on_timer(self, incarnation: int) -> None:
+        if not self.alive or incarnation != self.incarnation:
             return
         fleet = self.fleet
         if self.stopped_until > fleet.loop.now:
-            fleet.loop.at(self.stopped_until, self._ring, life)
+            fleet.loop.call_at(self.stopped_until, self._on_timer, incarnation)
             return
         self.core.tick(self.now())
-        wait = max(MS, int((self.core.next_tick_at - self.now()) / self.rate))
-        fleet.loop.at(fleet.loop.now + wait, self._ring, life)
+        wait = max(MS, int((self.core.next_tick_at - self.now()) / self.clock_rate))
+        fleet.loop.call_at(fleet.loop.now + wait, self._on_timer, incarnation)
 
     def _send(self, address: str, message: Message) -> None:
-        data = pack(FLEET, message)
+        data = pack(FLEET_ID, message)
         self.sent_bytes += len(data) + 28
         fleet = self.fleet
         node = fleet.nodes.get(address)
@@ -100,20 +101,21 @@
             delay = fleet.rng.randrange(MS // 4, 3 * MS)
             if fleet.settings.faults and fleet.rng.random() < 0.03:
                 delay += fleet.rng.randrange(SECOND)
-            fleet.links.packets(self.name, address, delay, len(data), node.receive, self.name, data, node.life)
+            fleet.links.send_datagram(self.name, address, delay, len(data), node.receive, self.name, data,
+                                      node.incarnation)
 
-    def receive(self, source: str, data: bytes, life: int) -> None:
-        """A datagram."""
+    def receive(self, source: str, data: bytes, incarnation: int) -> None:
+        """Handle a datagram."""
         if not self.alive:
             return
         if self.stopped_until > self.fleet.loop.now:
-            self.fleet.loop.at(self.stopped_until, self.receive, source, data, life)
+            self.fleet.loop.call_at(self.stopped_until, self.receive, source, data, incarnation)
             return
-        self.core.on_message(self.now(), source, unpack(FLEET, data))
+        self.core.on_message(self.now(), source, unpack(FLEET_ID, data))
 
 
 class Fleet:
-    """One history."""
+    """One history of a gossip group."""
 
     def __init__(self, seed: int, settings: Settings) -> None:
         self.settings = settings
@@ -125,30 +127,30 @@
         self.nodes: dict[str, Node] = {}
         self.end = int(settings.seconds * SECOND)
         self.broken: list[str] = []
-        self.settled = 0.0
-        self.numbers: dict[str, int] = {}
-        self.history: dict[tuple[str, str], list[tuple[int, int]]] = {}    # owner, key: when, number
-        self.down: dict[str, int] = {}                  # who ended for good, and when
-        self.trouble: dict[str, int] = {}               # who was cut, stopped or reborn, until when
+        self.convergence_s = 0.0
+        self.last_numbers: dict[str, int] = {}
+        self.writes: dict[tuple[str, str], list[tuple[int, int]]] = {}    # by owner and key: time, number
+        self.ended_at: dict[str, int] = {}              # by member that ended for good: time
+        self.disturbed_until: dict[str, int] = {}       # by member cut off, suspended or restarted: end of recovery
         self.checked = 0
         self.ages: list[float] = []
         self.false_alarms = 0
-        self.found: list[float] = []
+        self.detection_s: list[float] = []
         self._seen_dead: set[tuple[str, str]] = set()
         for name in self.names:
             self.nodes[name] = Node(self, name)
-        self.loop.at(SECOND, self._write)
-        self.loop.at(2 * SECOND, self._look)
+        self.loop.call_at(SECOND, self._write)
+        self.loop.call_at(2 * SECOND, self._check_all)
         if settings.faults:
-            self.loop.at(int(self.rng.uniform(2, 6) * SECOND), self._fault)
+            self.loop.call_at(int(self.rng.uniform(2, 6) * SECOND), self._fault)
 
-    def written(self, owner: str, key: str) -> int:
-        """An owner sets a key now."""
-        number = self.numbers[owner] = self.numbers.get(owner, 0) + 1
-        self.history.setdefault((owner, key), []).append((self.loop.now, number))
+    def record_write(self, owner: str, key: str) -> int:
+        """Record that an owner writes a key now; returns the number to write."""
+        number = self.last_numbers[owner] = self.last_numbers.get(owner, 0) + 1
+        self.writes.setdefault((owner, key), []).append((self.loop.now, number))
         return number
 
-    def _calm(self) -> bool:
+    def _in_final_phase(self) -> bool:
         return self.loop.now > self.end - int(self.settings.calm_s * SECOND)
 
     def _write(self) -> None:
@@ -157,44 +159,46 @@
             node.put(f"k{self.rng.randrange(2)}")
         if self.loop.now < self.end - 8 * SECOND:
             gap = 1 / (self.settings.writes_per_s * len(self.names))
-            self.loop.at(self.loop.now + int(self.rng.expovariate(1 / gap) * SECOND) + MS, self._write)
+            self.loop.call_at(self.loop.now + int(self.rng.expovariate(1 / gap) * SECOND) + MS, self._write)
 
-    # ---- What is looked at -------------------------------------------------------------------------------
+    # ---- Checks ------------------------------------------------------------------------------------------
 
-    def _look(self) -> None:
-        """Every member's word on the age of each value, against when that was really written."""
+    def _check_all(self) -> None:
+        """Compare the ages of values that members report with the times of the writes."""
         for node in self.nodes.values():
             if node.alive and node.stopped_until <= self.loop.now:
                 for owner in self.rng.sample(self.names, min(8, len(self.names))):
-                    self._check(node, owner)
-                self._members(node)
+                    self._check_ages(node, owner)
+                self._check_membership(node)
         if self.loop.now < self.end:
-            self.loop.at(self.loop.now + self.rng.randrange(100 * MS, 400 * MS), self._look)
+            self.loop.call_at(self.loop.now + self.rng.randrange(100 * MS, 400 * MS), self._check_all)
 
-    def _check(self, node: Node, owner: str) -> None:
-        age = node.core.values.age(node.now(), owner)
-        if owner == node.name or age > 1000 * SECOND:
+    def _check_ages(self, node: Node, owner: str) -> None:
+        age_ns = node.core.values.age(node.now(), owner)
+        if owner == node.name or age_ns > 1000 * SECOND:
             return
         self.checked += 1
-        self.ages.append(age / 1e9)
+        self.ages.append(age_ns / 1e9)
         for key in ("k0", "k1"):
-            rows = self.history.get((owner, key), [])
-            at = bisect.bisect_right(rows, (self.loop.now - age, 1 << 62)) - 1
+            key_writes = self.writes.get((owner, key), [])
+            at = bisect.bisect_right(key_writes, (self.loop.now - age_ns, 1 << 62)) - 1
             if at < 0:
                 continue
             entry = node.core.values.owners[owner].entries.get(key)
             seen = int(entry.value or b"0") if entry is not None else 0
-            if seen < rows[at][1]:
-                self.broken.append(f"{node.name} has {owner}'s {key} as {seen} and says it is {age / 1e9:.2f} s old at "
-                                   f"most; {rows[at][1]} was written {(self.loop.now - rows[at][0]) / 1e9:.2f} s ago")
+            if seen < key_writes[at][1]:
+                self.broken.append(f"{node.name} has {owner}'s {key} as {seen} and says it is "
+                                   f"{age_ns / 1e9:.2f} s old at most; {key_writes[at][1]} was written "
+                                   f"{(self.loop.now - key_writes[at][0]) / 1e9:.2f} s ago")
 
-    def _members(self, node: Node) -> None:
+    def _check_membership(self, node: Node) -> None:
         for name, peer in node.core.peers.items():
             if peer.state == DEAD and (node.name, name) not in self._seen_dead:
                 self._seen_dead.add((node.name, name))
-                if name in self.down:
-                    self.found.append((self.loop.now - self.down[name]) / 1e9)
-                elif self.trouble.get(name, 0) < self.loop.now and self.trouble.get(node.name, 0) < self.loop.now:
+                if name in self.ended_at:
+                    self.detection_s.append((self.loop.now - self.ended_at[name]) / 1e9)
+                elif (self.disturbed_until.get(name, 0) < self.loop.now
+                      and self.disturbed_until.get(node.name, 0) < self.loop.now):
                     self.false_alarms += 1
             elif peer.state == ALIVE:
                 self._seen_dead.discard((node.name, name))
@@ -202,83 +206,84 @@
     # ---- Faults ------------------------------------------------------------------------------------------
 
     def _fault(self) -> None:
-        if self._calm():
-            self._heal()
+        if self._in_final_phase():
+            self._end_faults()
             return
         kind = self.rng.choice(FAULTS)
         names = self.rng.sample(self.names, max(1, len(self.names) // 2))
-        lasts = int(self.rng.uniform(1, 8) * SECOND)
-        until = self.loop.now + lasts + 20 * SECOND
+        duration_ns = int(self.rng.uniform(1, 8) * SECOND)
+        until = self.loop.now + duration_ns + 20 * SECOND
         if kind in ("cut", "one_way"):
             for one in names:
                 for other in self.names:
                     if other not in names:
                         for pair in ((one, other),) if kind == "one_way" else ((one, other), (other, one)):
-                            self.links.way(*pair).cut += 1
-                            self.loop.at(self.loop.now + lasts, self._uncut, *pair)
-            self.trouble.update(dict.fromkeys(self.names, until))
+                            self.links.link(*pair).cut += 1
+                            self.loop.call_at(self.loop.now + duration_ns, self._end_cut, *pair)
+            self.disturbed_until.update(dict.fromkeys(self.names, until))
         elif kind == "stop":
-            self.nodes[names[0]].stopped_until = self.loop.now + lasts
-            self.trouble[names[0]] = until
+            self.nodes[names[0]].stopped_until = self.loop.now + duration_ns
+            self.disturbed_until[names[0]] = until
         elif kind == "reborn":
             node = self.nodes[names[0]]
-            if names[0] not in self.down:
+            if names[0] not in self.ended_at:
                 node.alive = False
-                self.trouble[names[0]] = until
-                self.loop.at(self.loop.now + lasts // 4, self._again, node)
-        elif len(self.down) < len(self.names) // 5:
+                self.disturbed_until[names[0]] = until
+                self.loop.call_at(self.loop.now + duration_ns // 4, self._restart, node)
+        elif len(self.ended_at) < len(self.names) // 5:
             self.nodes[names[0]].alive = False
-            self.down[names[0]] = self.loop.now
-        self.loop.at(self.loop.now + int(self.rng.uniform(0.5, 4) * SECOND), self._fault)
+            self.ended_at[names[0]] = self.loop.now
+        self.loop.call_at(self.loop.now + int(self.rng.uniform(0.5, 4) * SECOND), self._fault)
 
-    def _again(self, node: Node) -> None:
-        if not node.alive and node.name not in self.down:
+    def _restart(self, node: Node) -> None:
+        if not node.alive and node.name not in self.ended_at:
             node.stopped_until = 0
             node.start()
 
-    def _uncut(self, one: str, other: str) -> None:
-        link = self.links.way(one, other)
+    def _end_cut(self, one: str, other: str) -> None:
+        link = self.links.link(one, other)
         link.cut = max(0, link.cut - 1)
-        self.links.settle(one, other)
+        self.links.on_faults_changed(one, other)
 
-    def _heal(self) -> None:
+    def _end_faults(self) -> None:
         for node in self.nodes.values():
             node.stopped_until = min(node.stopped_until, self.loop.now)
-            self._again(node)
+            self._restart(node)
         for one in self.names:
             for other in self.names:
-                self.links.way(one, other).cut = 0
-                self.links.settle(one, other)
+                self.links.link(one, other).cut = 0
+                self.links.on_faults_changed(one, other)
 
     def run(self) -> Fleet:
-        """The whole history; at its end, or some seconds later, all that live know the same."""
+        """Play the complete history; at its end or within MAX_CONVERGENCE_NS, all running members must agree."""
         self.loop.run(self.end)
-        told = self._apart()
-        while told and self.loop.now < self.end + MORE:
+        differences = self._differences()
+        while differences and self.loop.now < self.end + MAX_CONVERGENCE_NS:
             self.loop.run(self.loop.now + SECOND)
-            told = self._apart()
-        self.settled = (self.loop.now - self.end) / 1e9
-        self.broken += told
+            differences = self._differences()
+        self.convergence_s = (self.loop.now - self.end) / 1e9
+        self.broken += differences
         return self
 
-    def _apart(self) -> list[str]:
-        """Where those that live differ."""
-        told = []
-        living = [node for node in self.nodes.values() if node.alive]
-        for node in living:
-            for other in living:
-                mine = {key: entry.value for key, entry in other.core.values.owners[other.name].entries.items()}
+    def _differences(self) -> list[str]:
+        """The differences between the running members."""
+        differences = []
+        running = [node for node in self.nodes.values() if node.alive]
+        for node in running:
+            for other in running:
+                expected = {key: entry.value for key, entry in other.core.values.owners[other.name].entries.items()}
                 known = node.core.values.owners.get(other.name)
-                theirs = {key: entry.value for key, entry in known.entries.items()} if known is not None else {}
-                if mine != theirs:
-                    told.append(f"{node.name} does not have {other.name}'s values at the end: {theirs} for {mine}")
+                actual = {key: entry.value for key, entry in known.entries.items()} if known is not None else {}
+                if expected != actual:
+                    differences.append(f"{node.name} does not have {other.name}'s values at the end: "
+                                       f"{actual} instead of {expected}")
                 if other.name not in node.core.alive():
-                    told.append(f"{node.name} takes {other.name} for gone at the end")
-        return told
+                    differences.append(f"{node.name} considers {other.name} dead at the end")
+        return differences
 
 
 def figures(fleet: Fleet) -> dict[str, Any]:
-    """What a history came to."""
+    """The figures of a history."""
     ages = sorted(fleet.ages)
     return {"members": len(fleet.names), "loss": fleet.loss, "checked": fleet.checked,
             "age_p50_s": round(ages[len(ages) // 2], 2) if ages else 0.0,
@@ -286,12 +291,12 @@
             "age_p999_s": round(ages[int(len(ages) * 0.999)], 2) if ages else 0.0,
             "kb_s_a_member": round(sum(node.sent_bytes for node in fleet.nodes.values()) / len(fleet.names)
                                    / (fleet.end / 1e9) / 1000, 2),
-            "settled_s": fleet.settled, "false_alarms": fleet.false_alarms,
-            "found_s": round(sorted(fleet.found)[len(fleet.found) // 2], 2) if fleet.found else 0.0}
+            "settled_s": fleet.convergence_s, "false_alarms": fleet.false_alarms,
+            "found_s": round(sorted(fleet.detection_s)[len(fleet.detection_s) // 2], 2) if fleet.detection_s else 0.0}
 
 
-class _AgesOfNow(Core):
-    """A vector says that all it holds is of now: ages are not carried on."""
+class _AgesNotPropagated(Core):
+    """A digest reports all values as current: their ages are not propagated."""
 
     def _on_digest_request(self, now: int, address: str, ask: DigestRequest) -> None:
         for owner in self.values.owners.values():
@@ -299,36 +304,37 @@
         super()._on_digest_request(now, address, ask)
 
 
-class _AgesFromTheAnswer(Core):
-    """An age counts from when the answer came."""
+class _AgesFromReply(Core):
+    """An age counts from the arrival of the reply instead of from the request."""
 
-    def _on_digest(self, now: int, address: str, vector: Digest) -> None:
-        asked = self._digest_requests.get(vector.number)
+    def _on_digest(self, now: int, address: str, digest: Digest) -> None:
+        asked = self._digest_requests.get(digest.number)
         if asked is not None:
             asked.at = now
-        super()._on_digest(now, address, vector)
+        super()._on_digest(now, address, digest)
 
 
 class _NeverRefutes(Core):
-    """A member says nothing to what is said of it."""
+    """A member does not refute rumors about itself."""
 
     def _apply_rumors(self, now: int, rumors: tuple[Rumor, ...]) -> None:
         super()._apply_rumors(now, tuple(rumor for rumor in rumors if rumor.name != self.name))
 
 
-MUTANTS: dict[str, type[Core]] = {"age not carried on": _AgesOfNow, "age counted from the answer": _AgesFromTheAnswer,
+MUTANTS: dict[str, type[Core]] = {"age not carried on": _AgesNotPropagated,
+                                  "age counted from the answer": _AgesFromReply,
                                   "what is said of oneself not refuted": _NeverRefutes}
 
 
 def judged(seed: int, settings: Settings) -> tuple[list[str], dict[str, Any]]:
-    """One seed's faults and figures."""
+    """Play one seed; returns its violations and figures."""
     fleet = Fleet(seed, settings).run()
     return fleet.broken, {"seed": seed, **figures(fleet)}
 
 
-def hunt(name: str, most: int) -> tuple[int, str]:
-    """How many histories it takes to find a known error; 0: not found."""
-    for seed in range(most):
+def hunt(name: str, max_histories: int) -> tuple[int, str]:
+    """The number of histories until a known error is found, and its violation; 0: not found."""
+    for seed in range(max_histories):
         if broken := judged(seed, Settings(core=MUTANTS[name]))[0]:
             return seed + 1, broken[0]
     return 0, ""
--- a/moleworks/rig/virtual/histories.py
+++ b/moleworks/rig/virtual/histories.py
@@ -1,4 +1,4 @@
-"""Judges a history of the store (cluster.py), and plays many on all cores."""
+"""Checks a history of the store (cluster.py), and plays many histories in parallel processes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .cluster import Cluster, Settings
 from .members import SECOND, Parts
 
-CHUNK = 50
+SEEDS_PER_TASK = 50
 
 
 class Verdict(Struct):
-    """What came of one seed."""
+    """The result of one seed."""
 
     seed: int
     broken: list[str] = []
@@ -34,26 +34,27 @@
 
 
 def judge(seed: int, parts: Parts | None = None, settings: Settings | None = None) -> Verdict:
-    """Play one seed and look at it from outside."""
+    """Play one seed and check what its clients and members have observed."""
     cluster = Cluster(seed, settings, parts)
     try:
         cluster.run()
-    except (AssertionError, LookupError, ValueError) as error:   # a broken part may trip over itself
-        cluster.broken.append(f"stumbled: {type(error).__name__}: {error}")
-    told = list(dict.fromkeys(cluster.broken))
+    except (AssertionError, LookupError, ValueError) as error:   # a faulty part may raise
+        cluster.broken.append(f"raised {type(error).__name__}: {error}")
+    violations = list(dict.fromkeys(cluster.broken))
     undecided = 0
     for key, ops in sorted(cluster.ops.items()):
         try:
             if not linearizable(ops):
-                told.append(f"{key} is not linearizable")
+                violations.append(f"{key} is not linearizable")
         except TooLong:
             undecided += 1
-    told += held_twice(cluster.holdings) + tokens_broken(cluster.granted, cluster.guarded)
+    violations += held_twice(cluster.holdings) + tokens_broken(cluster.granted_tokens, cluster.guarded_writes)
     last = max((op.returned or 0 for ops in cluster.ops.values() for op in ops), default=0)
-    if not told and last < cluster.end - SECOND:
-        told.append("no answer in the calm at the end")
-    return Verdict(seed, told, sum(map(len, cluster.ops.values())), cluster.acknowledged, cluster.elections,
-                   cluster.moves, cluster.grants, cluster.refused_tokens, undecided, max(cluster.hashes, default=0))
+    if not violations and last < cluster.end - SECOND:
+        violations.append("no result in the phase without faults at the end")
+    return Verdict(seed, violations, sum(map(len, cluster.ops.values())), cluster.acknowledged, cluster.elections,
+                   cluster.reconfigurations, cluster.grants, cluster.refused_tokens, undecided,
+                   max(cluster.state_hashes, default=0))
 
 
 def _chunk(seeds: list[int]) -> list[Verdict]:
@@ -61,41 +62,41 @@
 
 
 def play(seeds: list[int], workers: int | None = None,
-         tell: Callable[[int], None] = lambda _: None) -> tuple[list[Verdict], float]:
-    """All of them on so many cores; the verdicts in order, and the seconds it took."""
-    begun = time.perf_counter()
-    chunks = [seeds[at:at + CHUNK] for at in range(0, len(seeds), CHUNK)]
-    found: list[Verdict] = []
+         on_progress: Callable[[int], None] = lambda _: None) -> tuple[list[Verdict], float]:
+    """Play all seeds in `workers` processes (None: one per core); returns the verdicts in order and the seconds."""
+    started_at = time.perf_counter()
+    chunks = [seeds[start:start + SEEDS_PER_TASK] for start in range(0, len(seeds), SEEDS_PER_TASK)]
+    results: list[Verdict] = []
     with ProcessPoolExecutor(workers or len(os.sched_getaffinity(0))) as pool:
         for verdicts in pool.map(_chunk, chunks):
-            found += verdicts
-            tell(len(verdicts))
-    return found, time.perf_counter() - begun
+            results += verdicts
+            on_progress(len(verdicts))
+    return results, time.perf_counter() - started_at
 
 
 def row(verdict: Verdict) -> dict[str, Any]:
-    """A verdict as a row of a table."""
+    """A verdict as a row of the result table."""
     return {**msgspec.to_builtins(verdict), "broken": "; ".join(verdict.broken)}
 
 
-def hunt_all(most: int, first: int, workers: int | None = None) -> list[dict[str, Any]]:
-    """Every known error of mutants.py, one after the other in each process."""
+def hunt_all(max_histories: int, first_seed: int, workers: int | None = None) -> list[dict[str, Any]]:
+    """Search histories for every known error of mutants.py, one error at a time in each process."""
     from .mutants import MUTANTS
     with ProcessPoolExecutor(workers or len(os.sched_getaffinity(0))) as pool:
-        found = list(pool.map(_hunt_named, MUTANTS, [most] * len(MUTANTS), [first] * len(MUTANTS)))
+        results = list(pool.map(_hunt_named, MUTANTS, [max_histories] * len(MUTANTS), [first_seed] * len(MUTANTS)))
     return [{"mutant": name, "histories": count, "seen": seen}
-            for name, (count, seen) in zip(MUTANTS, found, strict=True)]
+            for name, (count, seen) in zip(MUTANTS, results, strict=True)]
 
 
-def _hunt_named(name: str, most: int, first: int) -> tuple[int, str]:
+def _hunt_named(name: str, max_histories: int, first_seed: int) -> tuple[int, str]:
     from .mutants import MUTANTS
-    return hunt(MUTANTS[name], most, first)
+    return hunt(MUTANTS[name], max_histories, first_seed)
 
 
-def hunt(parts: Parts, most: int, first: int = 0) -> tuple[int, str]:
-    """How many histories it takes to find what is broken in these parts, and what was seen; 0: not found."""
-    for seed in range(first, first + most):
+def hunt(parts: Parts, max_histories: int, first_seed: int = 0) -> tuple[int, str]:
+    """The number of histories until the error in these parts is found, and its violation; 0: not found."""
+    for seed in range(first_seed, first_seed + max_histories):
         verdict = judge(seed, parts)
         if verdict.broken:
-            return seed - first + 1, verdict.broken[0]
+            return seed - first_seed + 1, verdict.broken[0]
     return 0, ""
--- a/moleworks/rig/virtual/members.py
+++ b/moleworks/rig/virtual/members.py
@@ -1,4 +1,4 @@
-"""Members of the store in virtual time: a process that may die or stop, its clock, its disk."""
+"""Members of the store in virtual time: a process that may crash or be suspended, its clock and its disk."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Parts(Struct):
-    """What a member is made of; broken ones in their place where the judges are tried (mutants.py)."""
+    """The classes that a member is built from; mutants.py replaces one with a faulty version to test the checks."""
 
     core: type[Core] = Core
     state: type[State] = State
@@ -34,7 +34,7 @@
 
 
 class Disk:
-    """What has been synced outlives a crash; the rest does not."""
+    """A disk of which only synced data survives a crash."""
 
     def __init__(self, config: Config) -> None:
         self.term, self.vote = 0, ""
@@ -42,7 +42,7 @@
         self.entries: dict[int, Entry] = {}
 
     def sync(self, write: Write) -> None:
-        """All of a write."""
+        """Apply a complete write."""
         self.term, self.vote = write.term, write.vote
         if write.cut:
             self.entries = {index: entry for index, entry in self.entries.items() if index < write.cut}
@@ -53,7 +53,7 @@
             self.entries[entry.index] = entry
 
     def log(self) -> Log:
-        """As a process finds it."""
+        """The log that a process reads from the disk when it starts."""
         entries, index = [], self.snapshot.index + 1
         while index in self.entries:
             entries.append(self.entries[index])
@@ -62,124 +62,124 @@
 
 
 class Member:
-    """One member's process and machine."""
+    """The process of one member and its machine."""
 
     def __init__(self, cluster: Cluster, name: str, config: Config) -> None:
         self._cluster = cluster
         self.name = name
         self.disk = Disk(config)
-        self.rate = 1.0 + cluster.rng.uniform(-0.01, 0.01)
+        self.clock_rate = 1.0 + cluster.rng.uniform(-0.01, 0.01)
         self._offset = cluster.rng.randrange(10 * SECOND)
         self.alive = False
         self.stopped_until = 0
-        self.slow = 1.0
-        self._life = 0
-        self._due = 0
-        self._held: list[tuple[int, Callable[..., Any], tuple[Any, ...]]] = []
+        self.sync_factor = 1.0
+        self._incarnation = 0
+        self._next_tick_at = 0
+        self._deferred: list[tuple[int, Callable[..., Any], tuple[Any, ...]]] = []
         self.replica: Replica
         self.start()
 
     def now(self) -> int:
-        """By its own clock."""
-        return self._offset + int(self._cluster.loop.now * self.rate)
+        """The time of the member's own clock, ns."""
+        return self._offset + int(self._cluster.loop.now * self.clock_rate)
 
     def start(self) -> None:
-        """A process finds its disk."""
+        """Start a process with the content of the disk."""
         cluster = self._cluster
-        self._life += 1
+        self._incarnation += 1
         self.alive = True
         self.stopped_until = 0
         rng = random.Random(cluster.rng.getrandbits(32))
         log = self.disk.log()
-        terms = [log.snapshot.term, *(log.term(log.snapshot.index + at) or 0
-                                      for at in range(1, log.last_index - log.snapshot.index + 1))]
+        terms = [log.snapshot.term, *(log.term(log.snapshot.index + offset) or 0
+                                      for offset in range(1, log.last_index - log.snapshot.index + 1))]
         if terms != sorted(terms):
-            cluster.broken.append(f"{self.name}'s disk holds terms that fall")
+            cluster.broken.append(f"{self.name}'s disk has terms that decrease")
         core = cluster.parts.core(self.name, log, self.disk.term, self.disk.vote, rng, self.now(), cluster.timers)
         state = cluster.parts.state.from_image(self.disk.snapshot.data)
         self.replica = Replica(core, state, self.now(), cluster.settings.compact_entries, cluster.parts.granter)
         self.pump()
 
     def crash(self) -> None:
-        """The process is gone, and what was not synced."""
+        """End the process; data that was not synced is lost."""
         self.alive = False
-        self._life += 1
-        self._held = []
+        self._incarnation += 1
+        self._deferred = []
 
-    def hear(self, life: int, call: Callable[..., Any], *args: Any) -> None:
-        """Something reaches the process of this life: now, once it goes on, or never."""
-        if not self.alive or (life and life != self._life):
+    def invoke(self, incarnation: int, call: Callable[..., Any], *args: Any) -> None:
+        """Run a call in the process of this incarnation: now, after it resumes, or never (0: any incarnation)."""
+        if not self.alive or (incarnation and incarnation != self._incarnation):
             return
         if self.stopped_until > self._cluster.loop.now:
-            self._held.append((life or self._life, call, args))
-            self._cluster.loop.at(self.stopped_until, self._go_on)
+            self._deferred.append((incarnation or self._incarnation, call, args))
+            self._cluster.loop.call_at(self.stopped_until, self._resume)
             return
         call(*args)
         self.pump()
 
-    def _go_on(self) -> None:
-        """A process that goes on finds sockets and timers that are due in no order of their own."""
+    def _resume(self) -> None:
+        """Run the deferred calls in random order: a resumed process handles ready sockets and timers in any order."""
         if self.stopped_until <= self._cluster.loop.now:
-            held, self._held = self._held, []
-            self._cluster.rng.shuffle(held)
-            for life, call, args in held:
-                self.hear(life, call, *args)
+            deferred, self._deferred = self._deferred, []
+            self._cluster.rng.shuffle(deferred)
+            for incarnation, call, args in deferred:
+                self.invoke(incarnation, call, *args)
 
     def pump(self) -> None:
-        """Do what the member asks for, and come again when it next wants to."""
+        """Carry out the output of the replica and schedule its next tick."""
         cluster = self._cluster
-        done = self.replica.pump(self.now())
-        if done.write is not None:
-            delay = int(cluster.rng.expovariate(1 / (2 * MS * self.slow))) + MS // 2
-            cluster.loop.at(cluster.loop.now + delay, self._synced, self._life, done.write)
-        for to, message in done.send:
+        output = self.replica.pump(self.now())
+        if output.write is not None:
+            delay = int(cluster.rng.expovariate(1 / (2 * MS * self.sync_factor))) + MS // 2
+            cluster.loop.call_at(cluster.loop.now + delay, self._on_synced, self._incarnation, output.write)
+        for to, message in output.send:
             cluster.send(self.name, to, message)
-        for whose, result in done.answers:
-            cluster.answer(self, whose, result)
-        for whose in done.reads:
-            record = self.replica.state.get(whose[1])
+        for ticket, result in output.answers:
+            cluster.send_result(self, ticket, result)
+        for ticket in output.reads:
+            record = self.replica.state.get(ticket[1])
             value = (record.value, record.revision) if record is not None else (None, 0)
-            cluster.answer(self, whose[0], value)
-        if done.applied:
-            cluster.applied(self)
+            cluster.send_result(self, ticket[0], value)
+        if output.applied:
+            cluster.check_applied(self)
         core = self.replica.core
         if core.role == LEADER:
-            cluster.leads(core.term, self.name)
+            cluster.on_leader(core.term, self.name)
         due = core.next_tick_at
-        if due != self._due:
-            self._due = due
-            wait = max(0, int((due - self.now()) / self.rate)) + 1
-            cluster.loop.at(cluster.loop.now + wait, self._ring, self._life, due)
+        if due != self._next_tick_at:
+            self._next_tick_at = due
+            wait = max(0, int((due - self.now()) / self.clock_rate)) + 1
+            cluster.loop.call_at(cluster.loop.now + wait, self._on_timer, self._incarnation, due)
 
-    def _ring(self, life: int, due: int) -> None:
-        if due == self._due:
-            self._due = 0
-            self.hear(life, self._tick)
+    def _on_timer(self, incarnation: int, due: int) -> None:
+        if due == self._next_tick_at:
+            self._next_tick_at = 0
+            self.invoke(incarnation, self._tick)
 
     def _tick(self) -> None:
         self.replica.tick(self.now())
 
-    def _synced(self, life: int, write: Write) -> None:
-        if not self.alive or life != self._life:
-            return   # the crash came first
+    def _on_synced(self, incarnation: int, write: Write) -> None:
+        if not self.alive or incarnation != self._incarnation:
+            return   # the process crashed before the sync completed
         cluster = self._cluster
-        moved = (write.term, write.vote) != (self.disk.term, self.disk.vote)
-        if cluster.fragile(moved):   # on disk or not, and the process ends before it can say so
+        vote_changed = (write.term, write.vote) != (self.disk.term, self.disk.vote)
+        if cluster.crashes_now(vote_changed):   # crashes before it can confirm the write, which may be on disk or not
             if cluster.rng.random() < 0.6:
                 cluster.parts.sync(self.disk, write)
             self.crash()
-            cluster.loop.at(cluster.loop.now + cluster.rng.randrange(5 * MS, 400 * MS), cluster._restart, self)
+            cluster.loop.call_at(cluster.loop.now + cluster.rng.randrange(5 * MS, 400 * MS), cluster._restart, self)
             return
         if self.stopped_until > self._cluster.loop.now:
-            self._cluster.loop.at(self.stopped_until, self._synced, life, write)
+            self._cluster.loop.call_at(self.stopped_until, self._on_synced, incarnation, write)
             return
         cluster.parts.sync(self.disk, write)
         self.replica.core.on_written(self.now(), write)
         self.pump()
-        if cluster.fragile(moved):   # it has just said so
+        if cluster.crashes_now(vote_changed):   # crashes just after it has confirmed the write
             self.crash()
-            cluster.loop.at(cluster.loop.now + cluster.rng.randrange(5 * MS, 400 * MS), cluster._restart, self)
+            cluster.loop.call_at(cluster.loop.now + cluster.rng.randrange(5 * MS, 400 * MS), cluster._restart, self)
 
     def deliver(self, source: str, message: Message) -> None:
-        """A message."""
+        """Handle a message from another member."""
         self.replica.core.on_message(self.now(), source, message)
--- a/moleworks/rig/virtual/mutants.py
+++ b/moleworks/rig/virtual/mutants.py
@@ -1,4 +1,4 @@
-"""Known errors, put into the store one at a time: the judges of `histories.py` must find each."""
+"""Known errors to inject into the store one at a time: the checks of `histories.py` must find each of them."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 
 
 class CommitsByCounting(Core):
-    """An entry of an older term is committed because a majority has it."""
+    """The leader commits an entry of an older term as soon as a majority has it."""
 
     def _may_commit(self, index: int) -> bool:
         return True
 
 
-class VotesForAnybody(Core):
-    """A vote is given without a look at whose log is newer."""
+class VotesWithoutLogCheck(Core):
+    """A member grants its vote without comparing the logs."""
 
     def _up_to_date(self, ask: Ask) -> bool:
         return True
 
 
-class PromisesEarly(Core):
-    """Votes and entries are confirmed before they are on disk."""
+class ConfirmsBeforeDurable(Core):
+    """A member confirms votes and entries before they are durable."""
 
     def _send_when_durable(self, to: str, message: Message) -> None:
         self._out.send.append((to, message))
 
 
-class ReadsStale(Core):
-    """A leader answers reads without asking whether it still leads."""
+class ServesStaleReads(Core):
+    """A leader serves reads without confirming that it is still the leader."""
 
-    def _queue_read(self, whose: Any) -> None:
-        self._out.reads.append((whose, self.commit))
+    def _queue_read(self, ticket: Any) -> None:
+        self._out.reads.append((ticket, self.commit))
 
 
-class ChangesMembersFreely(Core):
-    """Two changes of members may be under way, and a change may be more than one step."""
+class AllowsAnyMemberChange(Core):
+    """Membership changes may overlap, and a change may be more than one step."""
 
     def reconfigure(self, now: int, config: Config) -> int | None:
         if self.role != "leader":
@@ -55,8 +55,8 @@
         return self.log.last_index
 
 
-class CountsItselfTwice(Core):
-    """A candidate is content with half of the votes."""
+class WinsWithHalfOfVotes(Core):
+    """A candidate wins with half of the votes."""
 
     def _count_votes(self) -> None:
         self._votes = {**self._votes, **dict.fromkeys(list(self._votes)[:1], True)}
@@ -65,26 +65,26 @@
         super()._count_votes()
 
 
-def _forgets_vote(disk: Disk, write: Write) -> None:
-    """The vote is not written."""
+def _sync_without_vote(disk: Disk, write: Write) -> None:
+    """Omit the vote from the write."""
     disk.sync(Write(write.number, write.term, "", write.cut, write.entries, write.snapshot))
 
 
-def _forgets_cut(disk: Disk, write: Write) -> None:
-    """What another leader took back stays on disk behind the new entries."""
+def _sync_without_truncation(disk: Disk, write: Write) -> None:
+    """Keep entries on disk that a new leader has truncated, behind the new entries."""
     disk.sync(Write(write.number, write.term, write.vote, 0, write.entries, write.snapshot))
 
 
-class ForgetsSessions(State):
-    """Snapshots lack the sessions."""
+class SnapshotsWithoutSessions(State):
+    """Snapshots do not contain the sessions."""
 
     def image(self) -> bytes:
-        told = msgspec.msgpack.decode(super().image())
-        return msgspec.msgpack.encode({**told, "sessions": {}})
+        image = msgspec.msgpack.decode(super().image())
+        return msgspec.msgpack.encode({**image, "sessions": {}})
 
 
-class AppliesAgain(State):
-    """What is sent again is applied again."""
+class AppliesResentCommands(State):
+    """A resent command is applied again."""
 
     def apply(self, data: bytes) -> tuple[Command | None, Result]:
         command: Command = msgspec.msgpack.decode(data, type=Command)
@@ -95,15 +95,15 @@
         return super().apply(data)
 
 
-class ChecksNoToken(State):
-    """A guarded change counts whatever its token."""
+class IgnoresTokens(State):
+    """A guarded change is accepted with any token."""
 
     def _token_is_current(self, guard: Guard) -> bool:
         return True
 
 
-class GivesTokenAgain(State):
-    """Tokens are counted from the grants that there are: one that ended is given again."""
+class ReissuesTokens(State):
+    """The token counter is lost with the grant, so that a token is issued again."""
 
     def _acquire(self, command: Acquire) -> Result:
         if command.duty not in self.grants:
@@ -111,8 +111,8 @@
         return super()._acquire(command)
 
 
-class CountsFromTheAnswer(Held):
-    """A holder counts from when it was answered."""
+class CountsLeaseFromReply(Held):
+    """A holder counts its lease from the reply instead of from the request."""
 
     def __init__(self, duty: str, token: int, ttl_ms: int, sent: int) -> None:
         super().__init__(duty, token, ttl_ms, sent + 500_000_000)
@@ -122,45 +122,45 @@
 
 
 class ExpiresEarly(Granter):
-    """A granter lets go a fifth early, as if clocks and messages took no time."""
+    """A granter expires a grant a fifth of its lease early, without allowing for clock rates and message delays."""
 
     def expired(self, now: int, state: State) -> list[Any]:
         return super().expired(now + 200_000_000, state)
 
 
-class RenewsNothing(Granter):
-    """A granter counts from the grant, not from its last renewal."""
+class IgnoresRenewals(Granter):
+    """A granter counts the lease from the grant instead of from its last renewal."""
 
     def applied(self, now: int, state: State, duty: str) -> None:
-        old = self._seen.get(duty)
+        previous = self._seen.get(duty)
         super().applied(now, state, duty)
-        fresh = self._seen.get(duty)
-        if old is not None and fresh is not None and old[0] == fresh[0]:
-            self._seen[duty] = (fresh[0], fresh[1], old[2])
+        current = self._seen.get(duty)
+        if previous is not None and current is not None and previous[0] == current[0]:
+            self._seen[duty] = (current[0], current[1], previous[2])
 
 
-class LosesConfig(Core):
-    """A snapshot that a leader sent brings the members as they were at first."""
+class RestoresInitialMembers(Core):
+    """An installed snapshot restores the initial members."""
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
         super()._install_snapshot(Snapshot(snapshot.index, snapshot.term, Config(("m0", "m1", "m2")), snapshot.data))
 
 
 MUTANTS: dict[str, Parts] = {
-    "vote not persisted": Parts(sync=_forgets_vote),
+    "vote not persisted": Parts(sync=_sync_without_vote),
     "older term committed by counting": Parts(core=CommitsByCounting),
-    "vote without a look at the log": Parts(core=VotesForAnybody),
-    "confirmed before it is on disk": Parts(core=PromisesEarly),
-    "stale read served": Parts(core=ReadsStale),
-    "half of the votes": Parts(core=CountsItselfTwice),
-    "members changed two at once": Parts(core=ChangesMembersFreely),
-    "cut not written": Parts(sync=_forgets_cut),
-    "members lost in a snapshot": Parts(core=LosesConfig),
-    "sessions not kept in snapshots": Parts(state=ForgetsSessions),
-    "sent again, applied again": Parts(state=AppliesAgain),
-    "token not checked": Parts(state=ChecksNoToken),
-    "token given again": Parts(state=GivesTokenAgain),
-    "lease counted from the answer": Parts(held=CountsFromTheAnswer),
+    "vote without a look at the log": Parts(core=VotesWithoutLogCheck),
+    "confirmed before it is on disk": Parts(core=ConfirmsBeforeDurable),
+    "stale read served": Parts(core=ServesStaleReads),
+    "half of the votes": Parts(core=WinsWithHalfOfVotes),
+    "members changed two at once": Parts(core=AllowsAnyMemberChange),
+    "cut not written": Parts(sync=_sync_without_truncation),
+    "members lost in a snapshot": Parts(core=RestoresInitialMembers),
+    "sessions not kept in snapshots": Parts(state=SnapshotsWithoutSessions),
+    "sent again, applied again": Parts(state=AppliesResentCommands),
+    "token not checked": Parts(state=IgnoresTokens),
+    "token given again": Parts(state=ReissuesTokens),
+    "lease counted from the answer": Parts(held=CountsLeaseFromReply),
     "lease let go early": Parts(granter=ExpiresEarly),
-    "renewal not counted": Parts(granter=RenewsNothing),
+    "renewal not counted": Parts(granter=IgnoresRenewals),
 }
