--- a/moleworks/cli/rig.py
+++ b/moleworks/cli/rig.py
@@ -245,7 +245,7 @@
     started_at = time.perf_counter()
     rows, broken = [], 0
     with ProcessPoolExecutor(_workers(jobs, "virtual")) as pool:
-        for errors, row in pool.map(functools.partial(playing.judged, settings=settings), numbers):
+        for errors, row in pool.map(functools.partial(playing.judge_history, settings=settings), numbers):
             rows.append({**row, "broken": "; ".join(errors[:3])})
             broken += bool(errors)
             if errors and broken <= 10:
@@ -267,7 +267,7 @@
 def explore(timeouts: int, writes: int, crashes: int, cuts: int, most_s: float) -> int:
     """Check all states of three store members within a budget of events.  Exit 1 if any state breaks a rule."""
     from moleworks.rig.virtual import explore as exploring
-    found = exploring.search(exploring.Budget(timeouts, writes, crashes, cuts), most_states=50_000_000, most_s=most_s)
+    found = exploring.search(exploring.Budget(timeouts, writes, crashes, cuts), max_states=50_000_000, max_s=most_s)
     click.echo(f"{found.states} states, {found.steps} steps in {found.seconds:.0f} s: "
                + (f"broken: {found.broken}" if found.broken else "all of them hold" if found.whole else "not all seen"))
     for step in found.path:
--- a/moleworks/rig/virtual/explore.py
+++ b/moleworks/rig/virtual/explore.py
@@ -175,7 +175,7 @@
 
 
 def search(budget: Budget, core: type[Core] = Core, sync: Callable[[Disk, Write], None] = Disk.sync,
-           most_states: int = 500_000, most_s: float = 600.0) -> Found:
+           max_states: int = 500_000, max_s: float = 600.0) -> Found:
     """Search breadth first, so that the path to a violation is a shortest one."""
     started_at = time.perf_counter()
     initial = World(budget, core)
@@ -183,7 +183,7 @@
     queue: deque[tuple[bytes, tuple[str, ...]]] = deque([(pickle.dumps(initial), ())])
     steps = 0
     while queue:
-        if len(visited) >= most_states or time.perf_counter() - started_at > most_s:
+        if len(visited) >= max_states or time.perf_counter() - started_at > max_s:
             return Found(len(visited), steps, time.perf_counter() - started_at, False)
         image, path = queue.popleft()
         for action in pickle.loads(image).actions():
--- a/moleworks/rig/virtual/gossip.py
+++ b/moleworks/rig/virtual/gossip.py
@@ -326,7 +326,7 @@
                                   "what is said of oneself not refuted": _NeverRefutes}
 
 
-def judged(seed: int, settings: Settings) -> tuple[list[str], dict[str, Any]]:
+def judge_history(seed: int, settings: Settings) -> tuple[list[str], dict[str, Any]]:
     """Play one seed; returns its violations and figures."""
     fleet = Fleet(seed, settings).run()
     return fleet.broken, {"seed": seed, **figures(fleet)}
@@ -335,6 +335,6 @@
 def hunt(name: str, max_histories: int) -> tuple[int, str]:
     """The number of histories until a known error is found, and its violation; 0: not found."""
     for seed in range(max_histories):
-        if broken := judged(seed, Settings(core=MUTANTS[name]))[0]:
+        if broken := judge_history(seed, Settings(core=MUTANTS[name]))[0]:
             return seed + 1, broken[0]
     return 0, ""
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -14,7 +14,7 @@
 def test_under_faults_no_age_is_understated_and_members_converge() -> None:
     # Seeds 46, 155, 473, 547 and 621 guard against taking two runs of one name for one, which four faults caused.
     for seed in (*range(40), 46, 155, 473, 547, 621, 464, 740):
-        broken, row = gossip.judged(seed, gossip.Settings())
+        broken, row = gossip.judge_history(seed, gossip.Settings())
         assert broken == [] and row["checked"] > 500, seed
 
 
