--- a/moleworks/rig/virtual/cluster.py
+++ b/moleworks/rig/virtual/cluster.py
@@ -84,7 +84,7 @@
         self.clients: dict[str, Client] = {f"c{index}": Writer(self, f"c{index}") for index in range(settings.clients)}
         for name in self.holder_names:
             self.clients[name] = Holder(self, name)
-        self.loop.call_at(int(self.rng.uniform(0.2, 1.5) * SECOND), self._fault)
+        self.loop.call_at(int(self.rng.uniform(0.2, 1.5) * SECOND), self._inject_fault)
 
     # ---- Messages and checks -----------------------------------------------------------------------------
 
@@ -116,7 +116,7 @@
                 and self.loop.now < self.end - int((self.settings.calm_s + 0.5) * SECOND) and self.rng.random() < 0.6):
             wait = self.rng.choice([3, 20, 150, 400]) * MS
             self.loop.call_at(self.loop.now + wait, self.rng.choice((self._crash, self._isolate, self._stop)),
-                         self.members[name])
+                              self.members[name])
         if self._leader_by_term.setdefault(term, name) != name:
             self.broken.append(f"two leaders of term {term}: {self._leader_by_term[term]} and {name}")
         self.elections = len(self._leader_by_term)
@@ -132,7 +132,7 @@
 
     # ---- Faults ------------------------------------------------------------------------------------------
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         if self.loop.now > self.end - int(self.settings.calm_s * SECOND):
             self._end_faults()
             return
@@ -145,7 +145,7 @@
             kind = "split"
         getattr(self, "_" + kind)()
         gap = self.settings.fault_gap_s * self.rng.uniform(0.3, 1.7)
-        self.loop.call_at(self.loop.now + int(gap * SECOND), self._fault)
+        self.loop.call_at(self.loop.now + int(gap * SECOND), self._inject_fault)
 
     def crashes_now(self, vote_changed: bool) -> bool:
         """Whether a process crashes at this point, which is likelier where a term or a vote was written."""
@@ -199,7 +199,7 @@
             self._crash()
 
     def _stop(self, member: Member | None = None) -> None:
-        (member or self._random_member()).stopped_until = self.loop.now + int(self.rng.uniform(0.1, 3.0) * SECOND)
+        (member or self._random_member()).suspended_until = self.loop.now + int(self.rng.uniform(0.1, 3.0) * SECOND)
 
     def _slow(self) -> None:
         member = self._random_member()
@@ -273,7 +273,7 @@
         for member in self.members.values():
             member.sync_factor = 1.0
             self._restart(member)
-            member.stopped_until = min(member.stopped_until, self.loop.now + SECOND // 2)
+            member.suspended_until = min(member.suspended_until, self.loop.now + SECOND // 2)
 
     def run(self) -> Cluster:
         """Play the complete history."""
--- a/moleworks/rig/virtual/faults.py
+++ b/moleworks/rig/virtual/faults.py
@@ -121,7 +121,7 @@
             fleet.loop.call_at(fleet.loop.now + 1, fleet._end_when_drained, gateway)
         elif fault.kind == "stop" and begins and gateway.alive:
             fleet.record(history.GatewayEvent(fleet.loop.now, name, "stop"))
-            gateway.stopped_until = fleet.loop.now + int(fault.for_s * 1e9 or 1 << 62)
+            gateway.suspended_until = fleet.loop.now + int(fault.for_s * 1e9 or 1 << 62)
         elif fault.kind == "stop" and not begins and gateway.alive:
             fleet.record(history.GatewayEvent(fleet.loop.now, name, "go"))
 
--- a/moleworks/rig/virtual/fleet.py
+++ b/moleworks/rig/virtual/fleet.py
@@ -32,12 +32,12 @@
 class ClientRequest:
     """An open request of a client: the first one or a retry."""
 
-    __slots__ = ("ask", "attempts", "done", "gateway", "origin", "rid")
+    __slots__ = ("attempts", "done", "gateway", "origin", "planned", "rid")
 
-    def __init__(self, rid: int, origin: int, ask: plan.Ask, attempts: int, gateway: Gateway) -> None:
+    def __init__(self, rid: int, origin: int, planned: plan.Ask, attempts: int, gateway: Gateway) -> None:
         self.rid = rid
         self.origin = origin
-        self.ask = ask
+        self.planned = planned
         self.attempts = attempts
         self.gateway = gateway
         self.done = False
@@ -70,14 +70,14 @@
         self.record(world_line(experiment, places, "virtual"))
         self.discovery = Discovery(self)
         self.gateways: dict[str, Gateway] = {}
-        self._starts = 0
-        self.front: dict[str, bool] = {}
+        self._start_count = 0
+        self._front_ready: dict[str, bool] = {}
         self._choices: dict[int, list[str]] = {}
         for name in places.gateways:
             self.start_gateway(name)
         self.faults = Faults(self, timeline(experiment, places))
-        self._rids = 0
-        self._asks: Iterator[plan.Ask] = plan.asks(experiment, places)
+        self._last_rid = 0
+        self._planned_requests: Iterator[plan.Ask] = plan.asks(experiment, places)
         self._open: dict[int, ClientRequest] = {}
         self._response_deadlines = [DeadlineQueue(self.loop, self._on_no_response) for _ in self.class_names]
 
@@ -94,34 +94,35 @@
         self._writer.close()
 
     def _schedule_next(self) -> None:
-        ask = next(self._asks, None)
-        if ask is not None:
-            self.loop.call_at(ask.at_ns, self._send_planned, ask)
+        planned = next(self._planned_requests, None)
+        if planned is not None:
+            self.loop.call_at(planned.at_ns, self._send_planned, planned)
 
-    def _send_planned(self, ask: plan.Ask) -> None:
+    def _send_planned(self, planned: plan.Ask) -> None:
         self._schedule_next()
-        self._send_request(ask, self._rids + 1, 1, ask.ttl_ns, False)
+        self._send_request(planned, self._last_rid + 1, 1, planned.ttl_ns, False)
 
-    def _send_request(self, ask: plan.Ask, origin: int, attempts: int, ttl: int, is_retry: bool) -> None:
+    def _send_request(self, planned: plan.Ask, origin: int, attempts: int, ttl: int, is_retry: bool) -> None:
         """Send the first request of a client or a retry."""
-        self._rids += 1
-        rid = self._rids
+        self._last_rid += 1
+        rid = self._last_rid
         now = self.loop.now
-        gateway = self._pick(ask.zone)
-        client_request = self._open[rid] = ClientRequest(rid, origin, ask, attempts, gateway)
-        self.record(history.Ask(now, rid, origin, gateway.name, ask.cls, ttl))
+        gateway = self._pick_gateway(planned.zone)
+        client_request = self._open[rid] = ClientRequest(rid, origin, planned, attempts, gateway)
+        self.record(history.Ask(now, rid, origin, gateway.name, planned.cls, ttl))
         delay = self._client_delay()
         if not gateway.alive or gateway.draining or not self.links.can_connect(CLIENTS, gateway.name):
             self.loop.call_at(now + 2 * delay, self._on_result, rid, "unreachable", 0, 0)
             return
-        self.links.send_stream(CLIENTS, gateway.name, delay, self._on_request_arrived, gateway, rid, ask, ttl, is_retry)
-        self._response_deadlines[ask.cls].add(now + ttl + RESPONSE_GRACE_NS, client_request)
-        if ask.leaves_ns:
-            self.loop.call_at(now + ask.leaves_ns, self._on_client_leaves, client_request)
+        self.links.send_stream(CLIENTS, gateway.name, delay, self._on_request_arrived, gateway, rid, planned, ttl,
+                               is_retry)
+        self._response_deadlines[planned.cls].add(now + ttl + RESPONSE_GRACE_NS, client_request)
+        if planned.leaves_ns:
+            self.loop.call_at(now + planned.leaves_ns, self._on_client_leaves, client_request)
 
-    def _on_request_arrived(self, gateway: Gateway, rid: int, ask: plan.Ask, ttl: int, is_retry: bool) -> None:
+    def _on_request_arrived(self, gateway: Gateway, rid: int, planned: plan.Ask, ttl: int, is_retry: bool) -> None:
         if gateway.alive:
-            gateway.invoke(gateway.on_request_arrived, rid, ask.cls, ask.work_ns, ttl, is_retry)
+            gateway.invoke(gateway.on_request_arrived, rid, planned.cls, planned.work_ns, ttl, is_retry)
         else:
             self._on_result(rid, "unreachable", 0, 0)
 
@@ -152,42 +153,42 @@
         if client_request is None:
             return
         client_request.done = True
-        ask, now = client_request.ask, self.loop.now
+        planned, now = client_request.planned, self.loop.now
         self.record(history.Answer(now, rid, result, by))
         if result in ("served", "none", "left"):
             return
-        elapsed_ns = now - ask.at_ns
+        elapsed_ns = now - planned.at_ns
         kind = "failed" if result == "cut" else result
-        backoff_ns = self.retry_policy.after(ask.cls, client_request.attempts, kind, retry_after_ns, elapsed_ns)
+        backoff_ns = self.retry_policy.after(planned.cls, client_request.attempts, kind, retry_after_ns, elapsed_ns)
         if backoff_ns >= 0:
-            time_left_ns = int(self.experiment.world.classes[ask.cls].deadline_ms * 1e6) - elapsed_ns - backoff_ns
-            self.loop.call_at(now + backoff_ns, self._send_request, ask, client_request.origin,
-                              client_request.attempts + 1, min(ask.ttl_ns, time_left_ns), True)
+            time_left_ns = int(self.experiment.world.classes[planned.cls].deadline_ms * 1e6) - elapsed_ns - backoff_ns
+            self.loop.call_at(now + backoff_ns, self._send_request, planned, client_request.origin,
+                              client_request.attempts + 1, min(planned.ttl_ns, time_left_ns), True)
 
-    def _pick(self, zone: int) -> Gateway:
+    def _pick_gateway(self, zone: int) -> Gateway:
         """The front's choice at random: a ready gateway of the zone, else any ready one, else any of the zone."""
         return self.gateways[self.rng.choice(self._choices[zone])]
 
-    def set_front(self, name: str, ready: bool) -> None:
+    def set_front_ready(self, name: str, ready: bool) -> None:
         """Set whether the front considers a gateway ready."""
-        self.front[name] = ready
-        all_ready = [other for other, up in self.front.items() if up]
+        self._front_ready[name] = ready
+        all_ready = [other for other, up in self._front_ready.items() if up]
         self._choices = {}
         for zone in range(len(self.places.zones)):
             own = [other for other, place in self.places.gateways.items() if place.zone == zone]
-            self._choices[zone] = [other for other in own if self.front.get(other)] or all_ready or own
+            self._choices[zone] = [other for other in own if self._front_ready.get(other)] or all_ready or own
 
     # ---- Gateways --------------------------------------------------------------------------------------
 
     def start_gateway(self, name: str) -> None:
         """Start a gateway process under this name; it has the current host list and no other state."""
         number = int(name[1:])
-        self._starts += 1
+        self._start_count += 1
         gateway_settings = parse_settings(json.dumps(settings.settings(self.experiment, self.places, number)).encode())
-        salt = random.Random(f"salt {name} {self._starts} {self.experiment.seed}").getrandbits(62)
+        salt = random.Random(f"salt {name} {self._start_count} {self.experiment.seed}").getrandbits(62)
         gateway = Gateway(self, name, self.places.gateways[name].zone, gateway_settings, salt, self.make)
         self.gateways[name] = gateway
-        self.set_front(name, True)
+        self.set_front_ready(name, True)
         self.record(history.GatewayEvent(self.loop.now, name, "up"))
         self.discovery.send_initial_list(gateway)
 
@@ -202,13 +203,13 @@
 
     def _on_down_noticed(self, gateway: Gateway) -> None:
         if not gateway.alive and self.gateways[gateway.name] is gateway:
-            self.set_front(gateway.name, False)
+            self.set_front_ready(gateway.name, False)
 
     def drain_gateway(self, name: str) -> None:
-        """Handle SIGTERM: the gateway turns unready, accepts requests for DRAIN_ACCEPT_NS and ends its open ones."""
+        """Handle SIGTERM: the gateway turns unready, accepts requests for DRAIN_ACCEPT_NS, completes open ones."""
         gateway = self.gateways[name]
         self.record(history.GatewayEvent(self.loop.now, name, "drain"))
-        self.set_front(name, False)
+        self.set_front_ready(name, False)
         self.loop.call_at(self.loop.now + DRAIN_ACCEPT_NS, self._end_when_drained, gateway)
 
     def _end_when_drained(self, gateway: Gateway) -> None:
--- a/moleworks/rig/virtual/gateway.py
+++ b/moleworks/rig/virtual/gateway.py
@@ -78,7 +78,7 @@
         self._max_attempts = settings.limits.max_attempts
         self.alive = True
         self.draining = False
-        self.stopped_until = 0
+        self.suspended_until = 0
         self._requests: dict[int, Request] = {}
         self._events: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._busy = False
@@ -95,8 +95,8 @@
         """Run a call in the process: now, after a suspended process resumes, or never."""
         if not self.alive:
             return
-        if self.stopped_until > self._loop.now:
-            self._loop.call_at(self.stopped_until, self.invoke, call, *fields)
+        if self.suspended_until > self._loop.now:
+            self._loop.call_at(self.suspended_until, self.invoke, call, *fields)
             return
         call(*fields)
 
--- a/moleworks/rig/virtual/gossip.py
+++ b/moleworks/rig/virtual/gossip.py
@@ -48,7 +48,7 @@
         self._offset = fleet.rng.randrange(10 * SECOND)
         self.incarnation = 0
         self.alive = False
-        self.stopped_until = 0
+        self.suspended_until = 0
         self.sent_bytes = 0
         self.core: Core
         self.start()
@@ -79,8 +79,8 @@
         if not self.alive or incarnation != self.incarnation:
             return
         fleet = self.fleet
-        if self.stopped_until > fleet.loop.now:
-            fleet.loop.call_at(self.stopped_until, self._on_timer, incarnation)
+        if self.suspended_until > fleet.loop.now:
+            fleet.loop.call_at(self.suspended_until, self._on_timer, incarnation)
             return
         self.core.tick(self.now())
         wait = max(MS, int((self.core.next_tick_at - self.now()) / self.clock_rate))
@@ -108,8 +108,8 @@
         """Handle a datagram."""
         if not self.alive:
             return
-        if self.stopped_until > self.fleet.loop.now:
-            self.fleet.loop.call_at(self.stopped_until, self.receive, source, data, incarnation)
+        if self.suspended_until > self.fleet.loop.now:
+            self.fleet.loop.call_at(self.suspended_until, self.receive, source, data, incarnation)
             return
         self.core.on_message(self.now(), source, unpack(FLEET_ID, data))
 
@@ -142,7 +142,7 @@
         self.loop.call_at(SECOND, self._write)
         self.loop.call_at(2 * SECOND, self._check_all)
         if settings.faults:
-            self.loop.call_at(int(self.rng.uniform(2, 6) * SECOND), self._fault)
+            self.loop.call_at(int(self.rng.uniform(2, 6) * SECOND), self._inject_fault)
 
     def record_write(self, owner: str, key: str) -> int:
         """Record that an owner writes a key now; returns the number to write."""
@@ -155,7 +155,7 @@
 
     def _write(self) -> None:
         node = self.nodes[self.rng.choice(self.names)]
-        if node.alive and node.stopped_until <= self.loop.now:
+        if node.alive and node.suspended_until <= self.loop.now:
             node.put(f"k{self.rng.randrange(2)}")
         if self.loop.now < self.end - 8 * SECOND:
             gap = 1 / (self.settings.writes_per_s * len(self.names))
@@ -166,7 +166,7 @@
     def _check_all(self) -> None:
         """Compare the ages of values that members report with the times of the writes."""
         for node in self.nodes.values():
-            if node.alive and node.stopped_until <= self.loop.now:
+            if node.alive and node.suspended_until <= self.loop.now:
                 for owner in self.rng.sample(self.names, min(8, len(self.names))):
                     self._check_ages(node, owner)
                 self._check_membership(node)
@@ -205,7 +205,7 @@
 
     # ---- Faults ------------------------------------------------------------------------------------------
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         if self._in_final_phase():
             self._end_faults()
             return
@@ -222,7 +222,7 @@
                             self.loop.call_at(self.loop.now + duration_ns, self._end_cut, *pair)
             self.disturbed_until.update(dict.fromkeys(self.names, until))
         elif kind == "stop":
-            self.nodes[names[0]].stopped_until = self.loop.now + duration_ns
+            self.nodes[names[0]].suspended_until = self.loop.now + duration_ns
             self.disturbed_until[names[0]] = until
         elif kind == "reborn":
             node = self.nodes[names[0]]
@@ -233,11 +233,11 @@
         elif len(self.ended_at) < len(self.names) // 5:
             self.nodes[names[0]].alive = False
             self.ended_at[names[0]] = self.loop.now
-        self.loop.call_at(self.loop.now + int(self.rng.uniform(0.5, 4) * SECOND), self._fault)
+        self.loop.call_at(self.loop.now + int(self.rng.uniform(0.5, 4) * SECOND), self._inject_fault)
 
     def _restart(self, node: Node) -> None:
         if not node.alive and node.name not in self.ended_at:
-            node.stopped_until = 0
+            node.suspended_until = 0
             node.start()
 
     def _end_cut(self, one: str, other: str) -> None:
@@ -247,7 +247,7 @@
 
     def _end_faults(self) -> None:
         for node in self.nodes.values():
-            node.stopped_until = min(node.stopped_until, self.loop.now)
+            node.suspended_until = min(node.suspended_until, self.loop.now)
             self._restart(node)
         for one in self.names:
             for other in self.names:
--- a/moleworks/rig/virtual/loop.py
+++ b/moleworks/rig/virtual/loop.py
@@ -68,7 +68,7 @@
         heapq.heappush(self._heap, (when if when > self.now else self.now, self._sequence, call, args))
 
     def run(self, until: int, max_events: int = 1 << 62) -> None:
-        """Handle every event up to this time, until `max_events` have been handled in all runs."""
+        """Handle every event up to this time, until `max_events` have been handled in total."""
         heap, pop = self._heap, heapq.heappop
         while heap and heap[0][0] <= until and self.events_handled < max_events:
             when, _, call, args = pop(heap)
@@ -146,7 +146,7 @@
         self._loop.call_at(self._loop.now + delay, call, *args)
 
     def send_datagram(self, source: str, target: str, delay: int, size: int, call: Callable[..., Any],
-                *args: Any) -> None:
+                      *args: Any) -> None:
         """Send a datagram of `size` bytes."""
         copies = 1
         if self._links and (link := self._links.get((source, target))) is not None:
--- a/moleworks/rig/virtual/members.py
+++ b/moleworks/rig/virtual/members.py
@@ -71,7 +71,7 @@
         self.clock_rate = 1.0 + cluster.rng.uniform(-0.01, 0.01)
         self._offset = cluster.rng.randrange(10 * SECOND)
         self.alive = False
-        self.stopped_until = 0
+        self.suspended_until = 0
         self.sync_factor = 1.0
         self._incarnation = 0
         self._next_tick_at = 0
@@ -88,7 +88,7 @@
         cluster = self._cluster
         self._incarnation += 1
         self.alive = True
-        self.stopped_until = 0
+        self.suspended_until = 0
         rng = random.Random(cluster.rng.getrandbits(32))
         log = self.disk.log()
         terms = [log.snapshot.term, *(log.term(log.snapshot.index + offset) or 0
@@ -110,16 +110,16 @@
         """Run a call in the process of this incarnation: now, after it resumes, or never (0: any incarnation)."""
         if not self.alive or (incarnation and incarnation != self._incarnation):
             return
-        if self.stopped_until > self._cluster.loop.now:
+        if self.suspended_until > self._cluster.loop.now:
             self._deferred.append((incarnation or self._incarnation, call, args))
-            self._cluster.loop.call_at(self.stopped_until, self._resume)
+            self._cluster.loop.call_at(self.suspended_until, self._resume)
             return
         call(*args)
         self.pump()
 
     def _resume(self) -> None:
         """Run the deferred calls in random order: a resumed process handles ready sockets and timers in any order."""
-        if self.stopped_until <= self._cluster.loop.now:
+        if self.suspended_until <= self._cluster.loop.now:
             deferred, self._deferred = self._deferred, []
             self._cluster.rng.shuffle(deferred)
             for incarnation, call, args in deferred:
@@ -170,8 +170,8 @@
             self.crash()
             cluster.loop.call_at(cluster.loop.now + cluster.rng.randrange(5 * MS, 400 * MS), cluster._restart, self)
             return
-        if self.stopped_until > self._cluster.loop.now:
-            self._cluster.loop.call_at(self.stopped_until, self._on_synced, incarnation, write)
+        if self.suspended_until > self._cluster.loop.now:
+            self._cluster.loop.call_at(self.suspended_until, self._on_synced, incarnation, write)
             return
         cluster.parts.sync(self.disk, write)
         self.replica.core.on_written(self.now(), write)
