--- a/moleworks/rig/virtual/callers.py
+++ b/moleworks/rig/virtual/callers.py
@@ -168,7 +168,7 @@
         else:
             done = result is not None and result.done
             self.cluster.record_operation(key, Op(self._called_at, returned_at, "cas", (expected[0], value), done,
-                                                     revision))
+                                                  revision))
         if result is not None and result.done:
             self._last_seen[key] = (value, result.revision)
             self.cluster.acknowledged += 1
