--- a/moleworks/rig/virtual/fleet.py
+++ b/moleworks/rig/virtual/fleet.py
@@ -120,7 +120,8 @@
         if planned.abandons_after_ns:
             self.loop.call_at(now + planned.abandons_after_ns, self._on_client_leaves, client_request)
 
-    def _on_request_arrived(self, gateway: Gateway, rid: int, planned: plan.PlannedRequest, ttl: int, is_retry: bool) -> None:
+    def _on_request_arrived(self, gateway: Gateway, rid: int, planned: plan.PlannedRequest, ttl: int,
+                            is_retry: bool) -> None:
         if gateway.alive:
             gateway.invoke(gateway.on_request_arrived, rid, planned.cls, planned.work_ns, ttl, is_retry)
         else:
@@ -159,7 +160,8 @@
             return
         elapsed_ns = now - planned.at_ns
         kind = "failed" if result == "cut" else result
-        backoff_ns = self.retry_policy.retry_delay_ns(planned.cls, client_request.attempts, kind, retry_after_ns, elapsed_ns)
+        backoff_ns = self.retry_policy.retry_delay_ns(planned.cls, client_request.attempts, kind, retry_after_ns,
+                                                      elapsed_ns)
         if backoff_ns >= 0:
             time_left_ns = int(self.experiment.world.classes[planned.cls].deadline_ms * 1e6) - elapsed_ns - backoff_ns
             self.loop.call_at(now + backoff_ns, self._send_request, planned, client_request.origin,
--- a/moleworks/rig/virtual/histories.py
+++ b/moleworks/rig/virtual/histories.py
@@ -48,7 +48,8 @@
                 violations.append(f"{key} is not linearizable")
         except TooLong:
             undecided += 1
-    violations += overlapping_holdings(cluster.holdings) + stale_token_writes(cluster.granted_tokens, cluster.guarded_writes)
+    violations += overlapping_holdings(cluster.holdings) \
+        + stale_token_writes(cluster.granted_tokens, cluster.guarded_writes)
     last = max((op.returned or 0 for ops in cluster.ops.values() for op in ops), default=0)
     if not violations and last < cluster.end - SECOND:
         violations.append("no result in the phase without faults at the end")
