--- a/moleworks/cli/rig.py
+++ b/moleworks/cli/rig.py
@@ -337,7 +337,7 @@
         runner.prepare(out)
         try:
             showing.up(experiment, world, out)
-        except procs.Trouble as error:
+        except procs.RigError as error:
             print(f"moleworks: {error}", file=sys.stderr)
             return 1
     return 0
--- a/moleworks/rig/real/endure.py
+++ b/moleworks/rig/real/endure.py
@@ -15,7 +15,7 @@
 from moleworks.store.client import Client, Refused, Unavailable
 from moleworks.store.state import Put
 
-from .procs import Block, Process
+from .procs import AddressBlock, Process
 
 ROOT = Path(__file__).resolve().parents[3]
 NAMES = ("a", "b", "c")
@@ -27,7 +27,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.block = Block()
+        self.block = AddressBlock()
         self.at = {name: self.block.at(2, 7000 + index) for index, name in enumerate(NAMES)}
         self.processes: dict[str, Process] = {}
 
--- a/moleworks/rig/real/faults.py
+++ b/moleworks/rig/real/faults.py
@@ -14,7 +14,7 @@
 from ..places import CLIENTS
 from ..spec import GATEWAY_FAULTS, HOST_FAULTS, MEDDLES, SERVICE_FAULTS, Fault
 from .fleet import Fleet
-from .procs import Trouble
+from .procs import RigError
 
 log = logs.get("rig.faults")
 
@@ -50,7 +50,7 @@
     def _done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            if not isinstance(error, Trouble):
+            if not isinstance(error, RigError):
                 raise error
             self.trouble.append(str(error))
 
--- a/moleworks/rig/real/fleet.py
+++ b/moleworks/rig/real/fleet.py
@@ -24,7 +24,7 @@
 from ..world import world_line
 from .discovery import Discovery
 from .gateway import RealGateway
-from .procs import Block, Child, Trouble
+from .procs import AddressBlock, Child, RigError
 
 log = logs.get("rig.fleet")
 
@@ -58,7 +58,7 @@
         return max(0, time.monotonic_ns() - self.epoch) if self.epoch else 0
 
     async def __aenter__(self) -> Fleet:
-        self._block = Block()
+        self._block = AddressBlock()
         self._folder = Path(tempfile.mkdtemp(prefix="moleworks-rig-"))
         self.logs = self.out / "logs"
         self.logs.mkdir(exist_ok=True)
@@ -144,7 +144,7 @@
             done = await asyncio.to_thread(subprocess.run, ["/bin/sh", "-c", deploy["build"]], cwd=self.root,
                                            capture_output=True, text=True, check=False)
             if done.returncode:
-                raise Trouble(f"the build command of deploy/balancer.toml failed: {done.stderr.strip()[-300:]}")
+                raise RigError(f"the build command of deploy/balancer.toml failed: {done.stderr.strip()[-300:]}")
         links = self._addresses()
         part_prefix = self._folder / "hosts"
         names = list(places.hosts)
--- a/moleworks/rig/real/gateway.py
+++ b/moleworks/rig/real/gateway.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from .procs import Process, Trouble
+from .procs import Process, RigError
 
 READY_TIMEOUT_S = 20.0
 
@@ -56,17 +56,17 @@
         self.process = await Process.start(self.name, ["/bin/sh", "-c", self._command], self._root, env, self.log_path)
 
     async def ready(self) -> float:
-        """Wait until the operators' endpoint reports ready; returns the seconds it took.  Raises Trouble."""
+        """Wait until the operators' endpoint reports ready; returns the seconds it took.  Raises RigError."""
         assert self.process is not None
         started_at = time.monotonic()
         while time.monotonic() - started_at < READY_TIMEOUT_S:
             if self.process.ended:
                 error_lines = self.log_path.read_text(errors="replace").strip().splitlines()
-                raise Trouble(f"{self.name} ended with {self.process.code} as it started: {error_lines[-1:]}")
+                raise RigError(f"{self.name} ended with {self.process.code} as it started: {error_lines[-1:]}")
             if await self._is_ready():
                 return time.monotonic() - started_at
             await asyncio.sleep(0.02)
-        raise Trouble(f"{self.name} was not ready in {READY_TIMEOUT_S:g} s")
+        raise RigError(f"{self.name} was not ready in {READY_TIMEOUT_S:g} s")
 
     async def _is_ready(self) -> bool:
         writer = None
--- a/moleworks/rig/real/members.py
+++ b/moleworks/rig/real/members.py
@@ -27,7 +27,7 @@
 from ..store_judge import judge
 from ..store_spec import MEMBERS, SPARES, StoreExperiment, schedule
 from .child import Clock
-from .procs import Block, Child, Process
+from .procs import AddressBlock, Child, Process
 
 SETTLE_S = 4.0
 """Time that watchers have to receive the last change before the run ends."""
@@ -42,7 +42,7 @@
 
     def __init__(self, experiment: StoreExperiment, folder: Path) -> None:
         self.experiment, self.folder = experiment, folder
-        self.block = Block()
+        self.block = AddressBlock()
         self.clock = Clock()
         self.names = list(MEMBERS[:experiment.members])
         self.schedule = schedule(experiment)
--- a/moleworks/rig/real/procs.py
+++ b/moleworks/rig/real/procs.py
@@ -23,7 +23,7 @@
 """A process that does not exit within this time is killed with SIGKILL."""
 
 
-class Trouble(Exception):
+class RigError(Exception):
     """The test bench could not perform the experiment; not a failure of the program under test."""
 
 
@@ -106,7 +106,7 @@
     @classmethod
     async def start(cls, name: str, module: str, config: dict[str, Any], folder: Path,
                     on_report: Callable[[dict[str, Any]], None] = lambda _: None) -> Child:
-        """Start the process and wait until it is ready.  Raises Trouble with its last error line if it fails."""
+        """Start the process and wait until it is ready.  Raises RigError with its last error line if it fails."""
         path, err = folder / f"{name}.json", folder / f"{name}.log"
         path.write_bytes(msgspec.json.encode(config))
         process = await Process.start(name, [sys.executable, "-B", "-m", module, str(path)], folder,
@@ -120,7 +120,7 @@
         if first_report is None:
             await process.end()
             error_lines = err.read_text(errors="replace").strip().splitlines()
-            raise Trouble(f"{name} did not start: {error_lines[-1] if error_lines else 'no error output'}")
+            raise RigError(f"{name} did not start: {error_lines[-1] if error_lines else 'no error output'}")
         child._task = asyncio.create_task(child._read())
         return child
 
@@ -149,7 +149,7 @@
         return {}
 
 
-class Block:
+class AddressBlock:
     """A block of loopback addresses for one run; a bound socket reserves it against other runs on this machine."""
 
     LOCK_PORT = 19999
@@ -167,7 +167,7 @@
                 continue
             self.prefix, self._lock = prefix, lock
             return
-        raise Trouble("no free block of loopback addresses: the lock ports are in use")
+        raise RigError("no free block of loopback addresses: the lock ports are in use")
 
     def at(self, last: int, port: int) -> tuple[str, int]:
         """Return an address of the block."""
--- a/moleworks/rig/real/run.py
+++ b/moleworks/rig/real/run.py
@@ -17,7 +17,7 @@
 from ..spec import Experiment
 from .faults import Faults
 from .fleet import ROOT, Fleet
-from .procs import Trouble
+from .procs import RigError
 
 log = logs.get("rig.run")
 
@@ -25,7 +25,7 @@
 def play(experiment: Experiment, places: Places, out: Path, root: Path = ROOT) -> list[dict[str, Any]]:
     """Perform the run and write `history.jsonl` to `out`; returns notes on the test bench itself.
 
-    Raises Trouble if the fleet can't be started.
+    Raises RigError if the fleet can't be started.
     """
     return uvloop.run(_play(experiment, places, out, root))
 
@@ -56,7 +56,7 @@
             fleet.merge()
     except asyncio.CancelledError:
         task.uncancel()
-        raise Trouble("interrupted before the run started") from None
+        raise RigError("interrupted before the run started") from None
     return fleet.notes
 
 
--- a/moleworks/rig/runner.py
+++ b/moleworks/rig/runner.py
@@ -88,11 +88,11 @@
     if experiment.driver == "virtual":
         virtual(experiment, world, out)
         return conclude(experiment, out, replay, report)
-    from .real.procs import Trouble
+    from .real.procs import RigError
     from .real.run import play
     try:
         notes = play(experiment, world, out)
-    except Trouble as error:
+    except RigError as error:
         (out / "history.jsonl").touch()
         return conclude(experiment, out, replay, report, trouble=f"trouble: {error}")
     return conclude(experiment, out, replay, report, notes)
@@ -101,13 +101,13 @@
 def run_store(experiment: store_spec.StoreExperiment, path: str, out: Path) -> dict[str, Any]:
     """The same for members of the store."""
     from .real import members
-    from .real.procs import Trouble
+    from .real.procs import RigError
     from .report import store_report
     prepare(out)
     replay = f"moleworks rig run {shlex.quote(path)} --seed {experiment.seed} --out {shlex.quote(str(out))}"
     try:
         told = members.play(experiment, out)
-    except Trouble as error:
+    except RigError as error:
         (out / "history.jsonl").touch()
         told = {"verdict": "broken", "figures": {}, "faults": [], "broken": [f"trouble: {error}"]}
     result = {**told, "seed": experiment.seed, "title": experiment.title, "driver": "members", "notes": [],
--- a/tests/test_rig_runs.py
+++ b/tests/test_rig_runs.py
@@ -17,7 +17,7 @@
 from moleworks.rig import compare, places, runner, spec, sweep
 from moleworks.rig.baselines import BASELINES
 from moleworks.rig.real import load
-from moleworks.rig.real.procs import Trouble
+from moleworks.rig.real.procs import RigError
 from moleworks.rig.real.run import play
 
 ROOT = Path(__file__).parent.parent
@@ -157,7 +157,7 @@
     experiment, world = runner.load(str(file))
     runner.prepare(tmp_path / "out")
     before = set(Path(tempfile.gettempdir()).glob("moleworks-rig-*"))
-    with pytest.raises(Trouble, match="ended with 3 as it started.*no room"):
+    with pytest.raises(RigError, match="ended with 3 as it started.*no room"):
         play(experiment, world, tmp_path / "out", tmp_path)
     assert set(Path(tempfile.gettempdir()).glob("moleworks-rig-*")) <= before
     assert left_behind(tmp_path) == []
--- a/tests/test_store_real.py
+++ b/tests/test_store_real.py
@@ -20,7 +20,7 @@
 from moleworks import wire
 from moleworks.duties.holder import Holder
 from moleworks.rig.real import members
-from moleworks.rig.real.procs import Block
+from moleworks.rig.real.procs import AddressBlock
 from moleworks.rig.store_spec import StoreExperiment
 from moleworks.store.client import Client, Refused
 from moleworks.store.protocol import ENCODE, Call, Hello, Status
@@ -34,7 +34,7 @@
     """A cluster of three member processes, each with its own folder."""
 
     def __init__(self, folder: Path) -> None:
-        self.block = Block()
+        self.block = AddressBlock()
         self.folder = folder
         self.at = {name: self.block.at(2, 7100 + index) for index, name in enumerate((*NAMES, "d"))}
         self.processes: dict[str, subprocess.Popen[str]] = {}
