--- a/moleworks/rig/real/discovery.py
+++ b/moleworks/rig/real/discovery.py
@@ -23,7 +23,7 @@
     def __init__(self, listing: Listing, entries_by_gateway: dict[str, dict[str, dict[str, Any]]], call_s: float,
                  record: Callable[[Any], None], now: Callable[[], int]) -> None:
         self.listing = listing
-        self._entries_by_gateway = entries_by_gateway     # by gateway: each gateway sees the addresses of its own links
+        self._entries_by_gateway = entries_by_gateway   # each gateway sees the addresses of its own links
         self._call_s = call_s
         self._record = record
         self._now = now
--- a/moleworks/rig/real/fleet.py
+++ b/moleworks/rig/real/fleet.py
@@ -119,9 +119,9 @@
         self._discovery_address = self._block.at(4, 10_000)
         links: list[dict[str, Any]] = []
         self.client_addresses = {name: self._link(links, CLIENTS, name, address, False)
-                      for name, address in self._gateway_addresses.items()}
+                                 for name, address in self._gateway_addresses.items()}
         self._discovery_links = {name: self._link(links, name, DISCOVERY, self._discovery_address, True)
-                              for name in places.gateways}
+                                 for name in places.gateways}
         self._hubs: list[dict[str, Any]] = []
         self._peers: dict[str, dict[str, Any]] = {}
         self._peer_links(links)
@@ -131,7 +131,7 @@
             for host, place in places.hosts.items():
                 address = self._link(links, name, host, self.host_addresses[host], True)
                 entries[host] = {"hostPort": "{}:{}".format(*address), "zone": places.zones[place.zone],
-                              "machineType": settings.MACHINE, "cell": place.cell}
+                                 "machineType": settings.MACHINE, "cell": place.cell}
         return links
 
     # ---- The start -------------------------------------------------------------------------------------
--- a/moleworks/rig/real/hosts.py
+++ b/moleworks/rig/real/hosts.py
@@ -125,7 +125,7 @@
             return
         key = self._program.key()
         self._program.record(history.Begin(now, self.name, rid, connection.gateway, key, connection.number,
-                                        connection.requests))
+                                           connection.requests))
         if connection.requests == 1:
             work += self.model.spec.handshake_us * 1000
         self._advance(now)
@@ -138,7 +138,7 @@
         if not accepted:
             self._program.record(history.End(now, self.name, key, "full"))
             connection.respond(b"503 Service Unavailable", b"", b"X-Not-Processed: 1\r\nX-Server-Load: %b\r\n"
-                              % self._load_report(now))
+                               % self._load_report(now))
             return
         request = _Request(connection, key, class_name == self.model.spec.bad_class)
         connection.request = self._requests[key] = request
--- a/moleworks/rig/real/listed.py
+++ b/moleworks/rig/real/listed.py
@@ -113,7 +113,7 @@
                         continue
                     if name not in states or self._rng.random() < 0.3:
                         change["put"].append({"instanceId": name, "hostPort": f"127.0.0.1:{1000 + number % 60_000}",
-                                            "zone": "za"})
+                                              "zone": "za"})
                     else:
                         change["drain" if self._rng.random() < 0.5 and states[name] == "in_service"
                                else "remove"].append(name)
--- a/moleworks/rig/real/odd.py
+++ b/moleworks/rig/real/odd.py
@@ -42,8 +42,8 @@
         odd_list.disable_safeguard(name)
     elif name:
         for module, replacements in ((member, {"Core": parts.core, "State": parts.state,
-                                        "Replica": functools.partial(Replica, granter=parts.granter)}),
-                              (holder, {"Held": parts.held})):
+                                               "Replica": functools.partial(Replica, granter=parts.granter)}),
+                                     (holder, {"Held": parts.held})):
             for name_in_module, replacement in replacements.items():
                 assert hasattr(module, name_in_module)
                 setattr(module, name_in_module, replacement)
--- a/moleworks/rig/real/outage.py
+++ b/moleworks/rig/real/outage.py
@@ -180,7 +180,7 @@
                            f"X-Request-ID: {base}{number:02x}%08x\r\nX-Priority-Class: {CLASS}\r\n"
                            f"X-Timeout-Ms: {DEADLINE_MS:.0f}\r\n\r\n").encode()
                 loops.append(LoadLoop(address(gateway.config["listen"]), message, self._rps / len(self._gateways),
-                                  self.seconds, DEADLINE_MS / 1000, number))
+                                      self.seconds, DEADLINE_MS / 1000, number))
             event_tasks = [asyncio.create_task(self._stop_hosts()), asyncio.create_task(self._stop_services())]
             restarted = asyncio.create_task(self._restart_gateway())
             results = await asyncio.gather(*(loop.run() for loop in loops))
--- a/tests/test_rig_links.py
+++ b/tests/test_rig_links.py
@@ -250,7 +250,7 @@
         transport, receiver = await loop.create_datagram_endpoint(DatagramRecorder, ("127.0.0.1", 0))
         sender, replies = await loop.create_datagram_endpoint(DatagramRecorder, ("127.0.0.1", 0))
         link = UdpLink(("127.0.0.1", 0), ("127.0.0.1", 0), (sender.get_extra_info("sockname"),
-                                                          transport.get_extra_info("sockname")), random.Random(3))
+                                                            transport.get_extra_info("sockname")), random.Random(3))
         address, reply_address = await link.start()
         transport.sendto(b"7", reply_address)
         await replies.wait_for(1)
