--- a/moleworks/rig/real/clients.py
+++ b/moleworks/rig/real/clients.py
@@ -342,8 +342,9 @@
         if outcome in ("served", "none", "left"):
             return
         planned, spent_ns = request.planned, now - request.planned.at_ns
-        wait_ns = self._retry_policy.retry_delay_ns(planned.cls, request.try_number, "failed" if outcome == "cut" else outcome,
-                                           int(retry_after * 1e9), spent_ns)
+        wait_ns = self._retry_policy.retry_delay_ns(planned.cls, request.try_number,
+                                                    "failed" if outcome == "cut" else outcome,
+                                                    int(retry_after * 1e9), spent_ns)
         if wait_ns >= 0:
             left_ns = int(self._experiment.world.classes[planned.cls].deadline_ms * 1e6) - spent_ns - wait_ns
             self._loop.call_later(wait_ns / 1e9, self._start_request, planned, request.origin, request.try_number + 1,
--- a/moleworks/rig/real/faults.py
+++ b/moleworks/rig/real/faults.py
@@ -1,23 +1,20 @@
 """Injects the fault timeline into real processes by signals, link faults and commands."""
 
 from __future__ import annotations
+
+import asyncio
+import signal
+from collections.abc import Coroutine
+from typing import Any
+
+from moleworks import logs
+
 from .. import history
-from ..listing import DRAINING
-from ..listing import GONE
-from ..listing import READY
+from ..listing import DRAINING, GONE, READY
 from ..places import CLIENTS
-from ..spec import Fault
-from ..spec import GATEWAY_FAULTS
-from ..spec import HOST_FAULTS
-from ..spec import SERVICE_FAULTS
-from ..spec import TAMPERING_FAULTS
+from ..spec import GATEWAY_FAULTS, HOST_FAULTS, SERVICE_FAULTS, TAMPERING_FAULTS, Fault
 from .fleet import Fleet
 from .procs import RigError
-from collections.abc import Coroutine
-from moleworks import logs
-from typing import Any
-import asyncio
-import signal
 
 log = logs.get("rig.faults")
 
--- a/moleworks/rig/real/keeper.py
+++ b/moleworks/rig/real/keeper.py
@@ -1,23 +1,20 @@
 """Child process that competes for a duty and writes under it; records what it assumed and did."""
 
 from __future__ import annotations
-from .. import history
-from ..store_history import Act
-from ..store_history import GrantReleased
-from ..store_history import Granted
-from .child import Clock
-from .child import main
-from .child import report
-from .odd import disable_safeguard
-from moleworks import logs
-from moleworks.duties.holder import Holder
-from moleworks.store.client import Client
-from moleworks.store.client import Unavailable
-from moleworks.store.state import Guard
-from moleworks.store.state import Put
-from typing import Any
+
 import asyncio
 import random
+from typing import Any
+
+from moleworks import logs
+from moleworks.duties.holder import Holder
+from moleworks.store.client import Client, Unavailable
+from moleworks.store.state import Guard, Put
+
+from .. import history
+from ..store_history import Act, Granted, GrantReleased
+from .child import Clock, main, report
+from .odd import disable_safeguard
 
 DUTY = "lead"
 
--- a/moleworks/rig/real/members.py
+++ b/moleworks/rig/real/members.py
@@ -5,39 +5,29 @@
 """
 
 from __future__ import annotations
-from .. import history
-from ..store_history import Calm
-from ..store_history import Event
-from ..store_history import Operation
-from ..store_history import ProcessEvent
-from ..store_history import StoreRun
-from ..store_history import Truth
-from ..store_history import Usage
-from ..store_judge import judge
-from ..store_spec import MEMBERS
-from ..store_spec import SPARES
-from ..store_spec import StoreExperiment
-from ..store_spec import schedule
-from .child import Clock
-from .procs import AddressBlock
-from .procs import Child
-from .procs import Process
-from moleworks.store.client import Client
-from moleworks.store.client import Refused
-from moleworks.store.client import Unavailable
-from moleworks.store.state import Condition
-from moleworks.store.state import Put
-from pathlib import Path
-from typing import Any
+
 import asyncio
 import contextlib
-import msgspec
 import os
 import random
 import shutil
 import sys
 import tempfile
 import time
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from moleworks.store.client import Client, Refused, Unavailable
+from moleworks.store.state import Condition, Put
+
+from .. import history
+from ..store_history import Calm, Event, Operation, ProcessEvent, StoreRun, Truth, Usage
+from ..store_judge import judge
+from ..store_spec import MEMBERS, SPARES, StoreExperiment, schedule
+from .child import Clock
+from .procs import AddressBlock, Child, Process
 
 SETTLE_S = 4.0
 """Time that watchers have to receive the last change before the run ends."""
