--- a/tests/soak/shim.c
+++ b/tests/soak/shim.c
@@ -1,14 +1,14 @@
-/* Preloaded into a gateway by the fault tests, never by `run`: steps the wall clock, and has system calls on
- * stream sockets and on files fail or be cut short, as Linux documents.
+/* Preloaded into a gateway by the fault tests, never by `run`: steps the wall clock, and makes system calls on
+ * stream sockets and on files fail or process only a part, as Linux documents.
  *
  * SHIM_CONTROL names a file of 64-bit integers that the test writes while the process runs:
  *   [0]       added to CLOCK_REALTIME, ns
  *   [1 + 2i]  calls of operation i that fail, in 10,000
  *   [2 + 2i]  calls of operation i that fail next, whatever the rate; counted down
- *   then      the number of writes to sockets that this process connected between which and the last look at the
- *             clock the process stood still for over HELD_NS, and the monotonic times of the newest of them, ns
- * Fatal errors of reads and writes strike only sockets that this process connected: on an accepted one they would
- * stand for a client that has gone.
+ *   then      the number of writes to sockets that this process connected before which the process was stopped for
+ *             over HELD_NS since it last read the clock, and the monotonic times of the newest of them, ns
+ * Fatal errors of reads and writes are injected only on sockets that this process connected: on an accepted one they
+ * would mean a client that has disconnected.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -38,7 +38,7 @@
 static _Atomic int64_t *control;
 static unsigned int seed = 1;
 static unsigned char outgoing[DESCRIPTORS];
-static _Thread_local int64_t looked_ns; /* what this thread was last told of the monotonic clock */
+static _Thread_local int64_t looked_ns; /* the monotonic time that this thread last read */
 
 __attribute__((constructor)) static void start(void) {
     const char *path = getenv("SHIM_CONTROL"), *text = getenv("SHIM_SEED");
@@ -51,7 +51,7 @@
     if (page != MAP_FAILED) control = page;
 }
 
-/* Asked first: a call that is not to fail must not take longer, as what the gateway does between two calls is judged. */
+/* Checked first: a call that is not to fail must not take longer, as the gateway is judged by its timing. */
 static int armed(enum operation what) {
     return control && (atomic_load(&control[1 + 2 * what]) > 0 || atomic_load(&control[2 + 2 * what]) > 0);
 }
@@ -81,7 +81,7 @@
     return yes;
 }
 
-/* Only these have a disk behind them: a failing write to the eventfd by which a loop is woken is no fault Linux knows. */
+/* Only these are on a disk: Linux documents no failing write to the eventfd that wakes an event loop. */
 static int is_file(int fd) {
     struct stat about;
     int kept = errno;
@@ -174,7 +174,7 @@
     return real(fd, from, count < 1 + (size_t)way ? count : 1 + (size_t)way);
 }
 
-/* Noted after the write, which must not take longer. */
+/* Recorded after the write, which must not take longer. */
 static void note_held(int fd, int64_t looked) {
     if (!control || !looked || !connected_here(fd)) return;
     struct timespec now;
