--- a/moleworks/gossip/messages.py
+++ b/moleworks/gossip/messages.py
@@ -1,4 +1,4 @@
-"""What goes between members, one message a datagram.  MessagePack by msgspec behind version and fleet."""
+"""Messages between members, one per datagram: version, fleet, then MessagePack by msgspec."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from msgspec import Struct
 
 VERSION = 1
-MOST = 1400
-"""Bytes of a datagram."""
+MAX_DATAGRAM_BYTES = 1400
+"""Maximum size of a datagram."""
 _HEAD = struct.Struct(">BQ")
 
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 
 
 class Rumor(Struct, frozen=True, array_like=True):
-    """What is said of a member: its address, incarnation and state."""
+    """An update on a member's address, incarnation and state."""
 
     name: str
     address: str
@@ -25,7 +25,7 @@
 
 
 class Ping(Struct, frozen=True, tag=1, array_like=True):
-    """Are you there?  `by`: whom the answer is for, where another one asks on its behalf (with its number)."""
+    """A probe of `target`.  `by`, `by_number`: sender and number of the `PingRequest` that caused it, if any."""
 
     number: int
     source: str
@@ -36,7 +36,7 @@
 
 
 class Ack(Struct, frozen=True, tag=2, array_like=True):
-    """Yes.  `whose`: who is there, where that was asked on somebody's behalf."""
+    """The reply to `Ping`.  `whose`: the member on whose behalf `source` was probed, if any."""
 
     number: int
     source: str
@@ -44,8 +44,8 @@
     rumors: tuple[Rumor, ...] = ()
 
 
-class Probe(Struct, frozen=True, tag=3, array_like=True):
-    """Ask that one for me."""
+class PingRequest(Struct, frozen=True, tag=3, array_like=True):
+    """An indirect probe: requests the receiver to ping `target` on behalf of `source`."""
 
     number: int
     source: str
@@ -53,15 +53,15 @@
     rumors: tuple[Rumor, ...] = ()
 
 
-class Ask(Struct, frozen=True, tag=4, array_like=True):
-    """What do you know, and how old is it?"""
+class DigestRequest(Struct, frozen=True, tag=4, array_like=True):
+    """Requests a `Digest` for anti-entropy."""
 
     number: int
     source: str
 
 
 class State(Struct, frozen=True, array_like=True):
-    """An owner's version (incarnation of its life, count) and how old knowledge of it may be, ms."""
+    """An owner's version (`life`, `count`) and the maximum age of what is known of it, ms."""
 
     owner: str
     life: int
@@ -69,16 +69,16 @@
     age: int
 
 
-class Vector(Struct, frozen=True, tag=5, array_like=True):
-    """The answer to `Ask`, in parts that each stand alone."""
+class Digest(Struct, frozen=True, tag=5, array_like=True):
+    """The reply to `DigestRequest`, in parts that can be processed independently."""
 
     number: int
     source: str
     states: tuple[State, ...]
 
 
-class Want(Struct, frozen=True, tag=6, array_like=True):
-    """Entries of these owners beyond what I have: owner, life, count."""
+class DeltaRequest(Struct, frozen=True, tag=6, array_like=True):
+    """Requests the entries of these owners that are newer than the sender's: owner, life, count."""
 
     number: int
     source: str
@@ -86,16 +86,16 @@
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """A key of its owner; `value` None: removed."""
+    """The value of an owner's key; None if it was removed (a tombstone)."""
 
     count: int
     key: str
     value: bytes | None
-    time: int = 0        # hybrid, for keys that many write
+    time: int = 0        # hybrid logical time, for keys with several writers
 
 
-class Entries(Struct, frozen=True, tag=7, array_like=True):
-    """Of one owner: all that is beyond `after`, up to the last one here; `whole`: in place of all that was known."""
+class Delta(Struct, frozen=True, tag=7, array_like=True):
+    """An owner's entries with counts from `after` (excluded) to `upto`; `whole`: they replace all earlier entries."""
 
     number: int
     source: str
@@ -107,28 +107,28 @@
     whole: bool = False
 
 
-Message = Ping | Ack | Probe | Ask | Vector | Want | Entries
+Message = Ping | Ack | PingRequest | DigestRequest | Digest | DeltaRequest | Delta
 _ENCODE = msgspec.msgpack.Encoder().encode
 _DECODE: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
-class Foreign(Exception):
-    """A datagram of another fleet or version, or none of ours."""
+class ForeignDatagram(Exception):
+    """A datagram of another fleet or version, or a malformed one."""
 
 
 def pack(fleet: int, message: Message) -> bytes:
-    """One datagram."""
+    """Encodes a message as a datagram."""
     return _HEAD.pack(VERSION, fleet) + _ENCODE(message)
 
 
 def unpack(fleet: int, data: bytes) -> Message:
-    """Raises Foreign."""
-    if len(data) > MOST or len(data) < _HEAD.size:
-        raise Foreign("of no size that is sent")
-    version, whose = _HEAD.unpack_from(data)
-    if version != VERSION or whose != fleet:
-        raise Foreign("of another fleet or version")
+    """Decodes a datagram.  Raises ForeignDatagram."""
+    if len(data) > MAX_DATAGRAM_BYTES or len(data) < _HEAD.size:
+        raise ForeignDatagram("datagram size out of range")
+    version, sender_fleet = _HEAD.unpack_from(data)
+    if version != VERSION or sender_fleet != fleet:
+        raise ForeignDatagram("wrong fleet or version")
     try:
         return _DECODE.decode(data[_HEAD.size:])
     except msgspec.DecodeError as error:
-        raise Foreign(str(error)) from None
+        raise ForeignDatagram(str(error)) from None
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,6 +1,6 @@
-"""Hosts, discovery and clients on loopback sockets, for the tests of the real gateway.
+"""Fake hosts, a fake discovery service and clients on loopback sockets, for tests of the real gateway.
 
-They share no code with the gateway: messages are read and worded here by hand.
+They share no code with the gateway: HTTP messages are parsed and written here independently.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 import uvloop
 
 from bridgesaddle import Balancer
-from bridgesaddle.lease import Told
-from gateway.core import Maker
+from bridgesaddle.lease import UpToDate
+from gateway.core import DecisionsFactory
 from gateway.program import Config, Gateway
 from gateway.timers import now_ns
-from gateway.upstream import REST
+from gateway.upstream import REUSE_DELAY_NS
 
-LIMIT_S = 20.0
-"""No test waits longer than this for an event that does not come."""
+TEST_TIMEOUT_S = 20.0
+"""Time limit of one test: a wait for an event that never happens ends here."""
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 SETTINGS: dict[str, Any] = {
     "az": 0, "zones": ["a", "b"], "flavors": ["m"], "replicas-of-me": 1, "round-ns": 5_000_000,
     "discovery": "on_request", "realms": [{"name": "acme", "portion": 1.0}],
     "caps": {"cancel": True, "max-attempts": 5, "may-duplicate": True, "dial-timeout-ns": 250_000_000,
              "conn-idle-ns": 15_000_000_000},
-    "rules": {"ask-within-ns": 200_000_000},   # the module asks at once
+    "rules": {"ask-within-ns": 200_000_000},   # the module calls discovery without a long delay
     "request-classes": [
         {"name": "read", "give-up-ns": 6_000_000_000, "slo-ns": 6_000_000_000, "effect": "read_like"},
         {"name": "keyed", "give-up-ns": 6_000_000_000, "slo-ns": 6_000_000_000,
@@ -39,38 +39,38 @@
 }
 
 
-def play(scene: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a scene on a loop of the kind that the gateway has, bounded in time."""
-    async def bounded() -> None:
-        await asyncio.wait_for(scene(), LIMIT_S)
-    uvloop.run(bounded())
+def run_scenario(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run an async test on a uvloop event loop, as the gateway uses, with a time limit."""
+    async def run_with_timeout() -> None:
+        await asyncio.wait_for(scenario(), TEST_TIMEOUT_S)
+    uvloop.run(run_with_timeout())
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, headers and body of a message with a length."""
+    """Read the first line, the headers and the body of a message with a Content-Length."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
     return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-class Seen:
-    """A request that has come to a host, and the means to answer it."""
+class ReceivedRequest:
+    """A request that a host has received, with methods to respond to it."""
 
-    def __init__(self, first: str, headers: dict[str, str], body: bytes,
+    def __init__(self, request_line: str, headers: dict[str, str], body: bytes,
                  writer: asyncio.StreamWriter, reader: asyncio.StreamReader,
-                 over: asyncio.Event | None) -> None:
-        self.first, self.headers, self.body = first, headers, body
-        self.writer, self.reader, self._over = writer, reader, over
+                 closed_event: asyncio.Event | None) -> None:
+        self.request_line, self.headers, self.body = request_line, headers, body
+        self.writer, self.reader, self._closed_event = writer, reader, closed_event
 
-    def reply(self, data: bytes = OK) -> None:
-        """Write these bytes."""
+    def respond(self, data: bytes = OK) -> None:
+        """Write these response bytes."""
         self.writer.write(data)
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the gateway has closed this connection."""
-        if self._over is not None:
-            await self._over.wait()
+        if self._closed_event is not None:
+            await self._closed_event.wait()
             return
         try:
             while await self.reader.read(1000):
@@ -80,12 +80,12 @@
 
 
 class FakeHost:
-    """A host; each request that comes goes to `seen`, and to `reply` where one is given."""
+    """A host that queues each request in `received` and responds with `response`; if None, the test responds itself."""
 
-    def __init__(self, name: str = "h0", reply: bytes | None = OK) -> None:
+    def __init__(self, name: str = "h0", response: bytes | None = OK) -> None:
         self.name = name
-        self.reply = reply
-        self.seen: asyncio.Queue[Seen] = asyncio.Queue()
+        self.response = response
+        self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.address = ""
         self._server: asyncio.Server | None = None
@@ -98,33 +98,33 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        over = asyncio.Event() if self.reply is not None else None
+        closed_event = asyncio.Event() if self.response is not None else None
         try:
             while True:
-                seen = Seen(*await read_message(reader), writer, reader, over)
-                self.seen.put_nowait(seen)
-                if self.reply is None:
-                    return   # the test has the connection now
-                seen.reply(self.reply)
+                received_request = ReceivedRequest(*await read_message(reader), writer, reader, closed_event)
+                self.received.put_nowait(received_request)
+                if self.response is None:
+                    return   # the test uses the connection from here on
+                received_request.respond(self.response)
         except (asyncio.IncompleteReadError, OSError):
             writer.close()
-            if over is not None:
-                over.set()
+            if closed_event is not None:
+                closed_event.set()
 
-    def row(self, state: str = "in_service", **more: Any) -> dict[str, Any]:
-        """This host's line in the list."""
+    def instance(self, state: str = "in_service", **more: Any) -> dict[str, Any]:
+        """This host's entry in discovery's list."""
         return {"instanceId": self.name, "hostPort": self.address, "zone": "a", "machineType": "m", "cell": 0,
                 "lifecycle": state, "weight": 1.0, "startedAtMs": 0, **more}
 
 
 class FakeDiscovery:
-    """Discovery; each call goes to `calls` with the means to write lines to it.
+    """A discovery service that queues each call in `calls`, with the writer of its response.
 
-    `tells`: calls are told first that nothing has changed since version 41.
+    `sends_first_update`: each response starts with an update that reports no change since generation 41.
     """
 
-    def __init__(self, tells: bool = False) -> None:
-        self._tells = tells
+    def __init__(self, sends_first_update: bool = False) -> None:
+        self._sends_first_update = sends_first_update
         self.calls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
         self.address = ""
 
@@ -135,37 +135,37 @@
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One call."""
+        """Handle one call."""
         try:
             first, _, _ = await read_message(reader)
-            if self._tells:
-                self.head(writer)
-                self.line(writer, 41, [])
+            if self._sends_first_update:
+                self.send_head(writer)
+                self.send_update(writer, 41, [])
             self.calls.put_nowait((first, writer))
             await reader.read()
         except (asyncio.IncompleteReadError, OSError):
             pass
 
     @staticmethod
-    def head(writer: asyncio.StreamWriter) -> None:
-        """Begin a watch's answer."""
+    def send_head(writer: asyncio.StreamWriter) -> None:
+        """Start the response to a watch."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     @staticmethod
-    def line(writer: asyncio.StreamWriter, generation: int, rows: list[dict[str, Any]],
-             reset: bool = False) -> None:
-        """Write one line of a watch."""
-        FakeDiscovery.raw(writer, json.dumps(
-            {"generation": generation, "reset": reset, "instances": rows}).encode() + b"\n")
+    def send_update(writer: asyncio.StreamWriter, generation: int, instances: list[dict[str, Any]],
+                    reset: bool = False) -> None:
+        """Write one update of a watch."""
+        FakeDiscovery.send_chunk(writer, json.dumps(
+            {"generation": generation, "reset": reset, "instances": instances}).encode() + b"\n")
 
     @staticmethod
-    def raw(writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write one chunk."""
+    def send_chunk(writer: asyncio.StreamWriter, data: bytes) -> None:
+        """Write one HTTP chunk."""
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
 
 
 class Client:
-    """One connection to the gateway."""
+    """One client connection to the gateway."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -174,20 +174,20 @@
         """Write these bytes."""
         self.writer.write(data)
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes]:
-        """The next answer: status, headers, body."""
+    async def read_response(self) -> tuple[int, dict[str, str], bytes]:
+        """Read the next response: status, headers, body."""
         first, headers, body = await read_message(self.reader)
         return int(first.split()[1]), headers, body
 
-    async def ask(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
-        """Send a request and wait for its answer."""
+    async def fetch(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
+        """Send a request and wait for its response."""
         self.send(data)
-        return await self.answer()
+        return await self.read_response()
 
 
 def request(cls: str = "read", rid: str = "r1", drop: str = "", body: bytes = b"", path: str = "/x?q=1",
             **headers: str) -> bytes:
-    """A request as a client words it; `drop` leaves a header out, `_` in a name stands for `-`."""
+    """The bytes of a client's request; `drop` leaves out one header, `_` in a header name stands for `-`."""
     lines = {"Host": "app.svc", "X-Request-ID": rid, "X-Priority-Class": cls, "X-Tenant-Id": "acme",
              "X-Timeout-Ms": "6000"}
     if cls == "keyed":
@@ -201,54 +201,55 @@
     return f"{method} /{cls}{path} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-class Stage(AsyncExitStack):
-    """A gateway with its hosts and discovery; everything ends with it."""
+class GatewayHarness(AsyncExitStack):
+    """A running gateway with its fake hosts and discovery; leaving the context closes everything."""
 
     gateway: Gateway
     discovery: FakeDiscovery
-    where: tuple[str, int]
+    address: tuple[str, int]
 
-    async def begin(self, *hosts: FakeHost, rows: list[dict[str, Any]] | None = None,
-                    make: Maker = Balancer, told: dict[str, Any] | None = None, **settings: Any) -> Stage:
-        """Start a gateway that knows these hosts."""
+    async def start(self, *hosts: FakeHost, instances: list[dict[str, Any]] | None = None,
+                    module_factory: DecisionsFactory = Balancer, config: dict[str, Any] | None = None,
+                    **settings: Any) -> GatewayHarness:
+        """Start a gateway whose configured list has these hosts, or `instances` where they are given."""
         self.discovery = await FakeDiscovery().start()
         for host in hosts:
             await host.start()
-        config = {
+        configuration = {
             "name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address, "seed": "7",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"generation": 41, "reset": True,
-                      "instances": [host.row() for host in hosts] if rows is None else rows},
-            "settings": {**SETTINGS, **settings}, **(told or {})}
+                      "instances": [host.instance() for host in hosts] if instances is None else instances},
+            "settings": {**SETTINGS, **settings}, **(config or {})}
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-            json.dump(config, file)
+            json.dump(configuration, file)
             file.flush()
             self.gateway = Gateway(Config({"EDGE_CONFIG": file.name}), asyncio.get_running_loop(),
-                                   make, waits_ns=0)   # tests answer the calls, or leave them
-        self.where = await self.gateway.start()
-        self._take_the_known_list_for_told()
+                                   module_factory, first_list_wait_ns=0)   # a test may leave calls unanswered
+        self.address = await self.gateway.start()
+        self._mark_configured_list_up_to_date()
         return self
 
-    def _take_the_known_list_for_told(self) -> None:
-        """What these tests are about comes after that: their discovery tells nothing by itself."""
+    def _mark_configured_list_up_to_date(self) -> None:
+        """Report the configured list as up to date, because the fake discovery sends nothing by itself."""
         lease, now = self.gateway.discovery.lease, now_ns()
-        lease.on_reached(now)
-        lease.on_opened()
-        lease.extend(Told(now))
+        lease.on_discovery_reached(now)
+        lease.on_watch_opened()
+        lease.extend(UpToDate(now))
         self.gateway.core.on_lease()
 
     async def client(self) -> Client:
-        """A new connection to the gateway."""
-        return Client(*await asyncio.open_connection(*self.where))
+        """Open a new connection to the gateway."""
+        return Client(*await asyncio.open_connection(*self.address))
 
 
-async def until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
-    """Let the loop turn until this holds; the scene's bound ends a wait in vain."""
+async def wait_until(ready: Callable[[], bool], step: Callable[[], Awaitable[Any]] | None = None) -> None:
+    """Run the event loop until `ready` holds; the time limit of `run_scenario` ends a wait that never succeeds."""
     while not ready():
         await (step() if step is not None else asyncio.sleep(0))
 
 
-async def rested() -> None:
-    """Until a connection to a host that has just given its answer may be used again."""
-    over = now_ns() + REST
-    await until(lambda: now_ns() > over)
+async def wait_until_reusable() -> None:
+    """Wait until a host connection whose response has just ended may be reused."""
+    reusable_at = now_ns() + REUSE_DELAY_NS
+    await wait_until(lambda: now_ns() > reusable_at)
