--- a/bridgesaddle/api.py
+++ b/bridgesaddle/api.py
@@ -40,7 +40,8 @@
 class Outcome(Enum):
     """How an attempt or a probe ended.
 
-    FULL: the host rejected it unprocessed.  RESET: after the request was written, the connection was lost or the
+    FULL: the host rejected it unprocessed.  CONNECT_FAILED: it did not run, as there was no connection for it or it
+    ended before its last byte was written.  RESET: after the request was written, the connection was lost or the
     response was malformed.  CANCELLED: the gateway stopped waiting for it.  MOOT: it did not run, for a reason that is
     not the host's.
     """
@@ -72,7 +73,11 @@
 
 
 class ListKind(IntEnum):
-    """The kind of a discovery event."""
+    """The kind of a discovery event.
+
+    DELTA: an update with the changed entries.  FULL: a full list.  CACHED: the list that the gateway starts with, also
+    a full list.  A host that is missing from a full list is GONE.  FAILED: a call to discovery has failed.
+    """
 
     DELTA = 0
     FULL = 1
@@ -140,7 +145,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its allowance: the requests per second, over all gateways, that have full worth."""
+    """A tenant and its allowance: the requests per second, over all gateways, that have full worth.
+
+    `Balancer` does not read `share`.
+    """
 
     name: str
     quota_per_s: float = 0.0
@@ -155,7 +163,8 @@
     """What the deployment allows or supports.
 
     wire.py has other defaults: what the received settings do not name (as `cancel` and `allows_concurrent_attempts`)
-    is not supported.
+    is not supported.  `Balancer` reads only `max_attempts`, `cancel`, `allows_concurrent_attempts`, `retry_after` and
+    `max_client_requests`.
     """
 
     max_attempts: int = 3
@@ -164,7 +173,7 @@
     probes: bool = False
     peers: bool = False
     retry_after: bool = False
-    max_retry_after_ns: int = 0  # not used by `Balancer`
+    max_retry_after_ns: int = 0
     connect_timeout_ns: int = 250 * MS
     conn_idle_ns: int = 0        # hosts close idle connections after this; 0: not configured
     streams_per_conn: int = 1
@@ -189,7 +198,7 @@
     valid list: a change is followed within `drain_grace_ns`, and discovery is called within `ask_within_ns`.  A request
     that may have run is sent again only where its `Effect` allows that.  A cold host, whose capacity grows from
     `cold_share` to 1 in `warm_within_ns`, gets at most `fall_multiple` times its capacity in any `fall_ns`: more may
-    make it fail.
+    make it fail.  `Balancer` does not read `fall_ns`, as it limits the rate at all times.
     """
 
     answer_slack_ns: int = 5 * MS
@@ -208,7 +217,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """The weights of the parts of the operator's objective; all 0 where none is configured."""
+    """The weights of the parts of the operator's objective; all 0 where none is configured.
+
+    `Balancer` reads only `whole`, `worst_window` and `worst_class`.
+    """
 
     whole: float = 0.0
     worst_window: float = 0.0
@@ -225,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Costs in the operator's objective, in mean worths; 0 where none is configured."""
+    """Costs in the operator's objective, in mean worths; 0 where none is configured.  `Balancer` does not read them."""
 
     cross_zone: float = 0.0   # an attempt that crosses zones
     waste: float = 0.0        # work without a served response, as a share of all work
@@ -241,7 +253,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a balancer."""
+    """The settings of a balancer.
+
+    `Balancer` does not read `prices`, `report_inline`, `warm_keys`, `weights`, `kinds` and `marks_retry`.
+    """
 
     zone: int
     zones: int
@@ -251,17 +266,18 @@
     rules: Rules = field(default_factory=Rules)
     prices: Prices = field(default_factory=Prices)
     goal: Goal = field(default_factory=Goal)
-    replica_index: int = 0
-    replicas: int = 1
-    tick_ns: int = MS
+    replica_index: int = 0   # the number of this gateway
+    replicas: int = 1        # the number of gateways
+    tick_ns: int = MS        # decisions keep this margin before each deadline and end of a window; the shortest T1
     ask_discovery: bool = False
-    report_fields: tuple[str, ...] = ()
+    report_fields: tuple[str, ...] = ()   # the names of the numbers in a load report, in their order
     report_inline: bool = False
-    over_share_worth: float = 1.0
+    over_share_worth: float = 1.0   # from 1 on, requests beyond a tenant's allowance are treated as all others
     warm_keys: bool = False
-    worth_by_work: bool = False
+    worth_by_work: bool = False     # the worth of a class is per unit of work, not per request
     weights: str = "off"
-    """What a host's weight means: "off" (always 1), "nominal", "rough" or "live"."""
+    """What a host's weight means: "off" (always 1), "nominal", "rough" or "live".  `Balancer` uses each entry's
+    weight, whatever this says."""
     kinds: int = 0
     marks_retry: bool = False
 
@@ -326,6 +342,10 @@
                    hint_ns: int, repeat: bool, write: bool = False) -> None:
         """A request of a client has arrived; it must get exactly one final response within `ttl_ns`.
 
+        `key`: the route key, 0 for none.  `hint_ns`: the estimate of its work that came with it, 0 for none.  `repeat`:
+        the client has sent it before.  `write`: the client marked it as a write.  Of these `Balancer` reads only
+        `hint_ns`.
+
         Raises ValueError for a class or tenant that the settings do not contain and for the id of an open request.
         """
 
--- a/bridgesaddle/decide.py
+++ b/bridgesaddle/decide.py
@@ -98,7 +98,7 @@
 
 # Discovery: shares of the setting ask_within_ns.
 FIRST_CALL_JITTER = 0.25  # the first call is made at a random time within this, so that gateways do not queue
-MAX_BACKOFF = 0.2    # max backoff delay, before jitter of 50 %: a change takes effect after a share of 0.6
+MAX_BACKOFF = 0.2    # max backoff delay, before jitter of 50 %; PROPAGATION_BOUND_NS is 0.6 of the default
 FIRST_BACKOFF = 0.1  # first backoff delay, before jitter
 
 
@@ -115,7 +115,7 @@
 
 
 class _Pool(_Estimate):
-    """The servers of the own zone, or of the other zones, that this gateway sends to."""
+    """The servers of the own or the other zones that are drawn from; `inflight` counts all attempts there."""
 
     __slots__ = ("inflight", "limit", "servers")
 
@@ -304,7 +304,7 @@
                                  else _Tenant(rate) if rate else None)
         self._ready: list[list[_Server]] = [[] for _ in range(settings.zones)]
         self._gateways_per_server = [1.0] * settings.zones   # by zone
-        # Square root of the number in flight at one gateway, less its part of the root of the fleet's number.
+        # Factor of the square root of a gateway's number in flight: that root less its part of the fleet's.
         self._chance_factor = 1.0 - 1.0 / sqrt(settings.replicas)
         self._report_index = {name: index for index, name in enumerate(settings.report_fields)}
 
@@ -1104,8 +1104,8 @@
     def _has_cold_credit(self, server: _Server, now: int) -> bool:
         """The credit for a cold server grows at this gateway's part of the server's budget (see `Rules`).
 
-        The initial credit is random, so that many gateways do not each send one request at once; a part below
-        one request per `fall_ns` is then met on average.
+        The random initial credit keeps many gateways from each sending one request at once.  The credit is at
+        most 1, which limits the rate at all times, on average also below one request per `fall_ns`.
         """
         rules, replicas = self._settings.rules, self._settings.replicas
         gateways = max(1.0, self._gateways_per_server[server.zone])
--- a/bridgesaddle/drill.py
+++ b/bridgesaddle/drill.py
@@ -26,13 +26,13 @@
 
 
 class Instances:
-    """The instances of one process.  They share only the reply that is being written."""
+    """The instances of one process.  They share the reply that is being written and the numbered lists of hosts."""
 
     def __init__(self, make: DecisionsFactory = Balancer) -> None:
         self._make = make
         self._reply = Reply()
         self._instances: dict[int, _Instance] = {}
-        self._pages: dict[int, list[HostEntry]] = {}
+        self._pages: dict[int, list[HostEntry]] = {}   # lists of hosts by the number that TARGETS records refer to
         self._handlers: dict[int, Callable[[int, tuple[Any, ...]], None]] = {
             wire.SPAWN: self._spawn, wire.HALT: self._halt, wire.CATALOG: self._catalog,
             wire.TARGETS: self._targets, wire.ARRIVAL: self._arrival, wire.BEGUN: self._begun,
--- a/bridgesaddle/lease.py
+++ b/bridgesaddle/lease.py
@@ -9,12 +9,13 @@
 * `Unreachable`: discovery could not be reached at a given time.  What it has takes effect `PROPAGATION_BOUND_NS` after
   it can be reached again, or at once where lists are pushed.
 
-A change that takes effect has to be followed within the drain grace.  Part of the grace is reserved for event-loop
-stalls between reading the clock and a write.
+A change takes effect when gateways have to begin to follow it, whether or not they have received it; they have to
+follow it within the drain grace.  Lists are pushed where `Settings.ask_discovery` is false.  Part of the grace is
+reserved for event-loop stalls between reading the clock and a write.
 
-These events can only shorten the lease: a start, the end of a watch, a call that connects and gets no response, SIGHUP,
-an update that cannot be parsed.  A received list (`on_list`, `on_watch_opened`), which comes with a proof, removes such
-limits, and new settings may change the grace.
+These events can only shorten the lease: a start, the end of a watch, a call that connects and ends without a usable
+list, SIGHUP, an update that cannot be parsed.  A received list (`on_list`, `on_watch_opened`), which comes with a
+proof, removes such limits, and new settings may change the grace.
 """
 
 from __future__ import annotations
@@ -90,7 +91,7 @@
         self._unreachable = False      # discovery could not be reached, and no call has reached it since
         self._last_up_to_date_ns = DISTANT_PAST_NS    # time of the last proof of each kind
         self._last_unreachable_ns = DISTANT_PAST_NS
-        self._last_unanswered_ns = DISTANT_PAST_NS    # the last call that connected and got no response, no watch open
+        self._last_unanswered_ns = DISTANT_PAST_NS    # last call that ended without a list, no watch open
         self._watch_open = False       # a watch has delivered its list and is open
         self._watch_lost_ns = DISTANT_PAST_NS         # when the last such watch ended
         self._unparsable_ns = DISTANT_FUTURE_NS       # the first unparsable update since the last list
@@ -147,8 +148,8 @@
 
         Returns whether this postpones what discovery has: it then takes effect only after discovery's return.  It does
         not postpone what was effective before, so a lease that was over by then stays over, nor what discovery had when
-        it could be reached and did not respond.  Where lists are pushed, the time between two calls is allowed for, up
-        to the grace within which a change may be followed.
+        a call reached it and ended without a usable list.  Where lists are pushed, the time between two
+        calls is allowed for, up to the grace within which a change may be followed.
         """
         if at_ns > self._effective_if_reachable_ns() + (self._grace_ns if self._pushed else 0) \
                 or self._last_unanswered_ns > self._last_up_to_date_ns:
@@ -193,7 +194,7 @@
             cutoff.latest_ns = min(cutoff.latest_ns, max(cutoff.effective_ns, effective_ns))
 
     def on_call_unanswered(self, at_ns: int) -> None:
-        """A call that connected at this time got no response: the gateway has not received what discovery had then."""
+        """A call that connected at this time ended without a usable list: what discovery had then was not received."""
         self.on_discovery_reached(at_ns)
         if not self._watch_open:
             self._last_unanswered_ns = max(self._last_unanswered_ns, at_ns)
--- a/bridgesaddle/wire.py
+++ b/bridgesaddle/wire.py
@@ -1,6 +1,7 @@
 """The codec of the simulator's wire protocol, and the parser of its settings record.
 
-It reads batches and writes replies, and makes no decisions.  Malformed input raises `WireError`.
+It reads batches and writes replies, and makes no decisions.  The configuration file of the gateway contains the same
+settings record.  Malformed input raises `WireError`.
 """
 
 from __future__ import annotations
