--- a/gateway/attempt.py
+++ b/gateway/attempt.py
@@ -17,7 +17,7 @@
 
 
 class Response(NamedTuple):
-    """A complete response of a host."""
+    """A complete response of a host, or the head of a streamed one with an empty body."""
 
     status: int
     headers: list[Header]
@@ -37,7 +37,8 @@
 class Attempt:
     """One attempt at one host, or a probe.
 
-    `on_end` is called once, with the response if a complete one was received.  A streamed response goes to `receiver`.
+    `on_end` is called once, with the response if the outcome is OK and it was not streamed.  A streamed response goes
+    to `receiver`.
     """
 
     __slots__ = ("begin_by", "body", "checked_at", "client_left", "connection", "done", "expires_at", "host",
--- a/gateway/body.py
+++ b/gateway/body.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 MAX_REPLAY_BYTES = 64 * 1024
-"""Size of the start of a body that is kept so that it can be sent again.  Bodies up to this
-length are never streamed, as `upstream.MAX_BUFFERED_BODY_BYTES` is equal."""
+"""Size up to which the start of a body is kept while an attempt sends it, so that it can be sent again; see `Body`.
+Bodies up to this length are never streamed, as `upstream.MAX_BUFFERED_BODY_BYTES` is equal."""
 
 
 READ_BUFFER_BYTES = 64 * 1024
@@ -57,8 +57,8 @@
 class Body:
     """A streamed body.
 
-    Its start is kept for a retry until more than `MAX_REPLAY_BYTES` have arrived; from then on it is committed to one
-    attempt.
+    Its start is kept for a retry until data arrives during an attempt that makes it longer than `MAX_REPLAY_BYTES`;
+    from then on it is committed to that attempt.  Until then, data that arrives between attempts is always kept.
     """
 
     def __init__(self, length: int | None, start: bytes, update_reading: Callable[[], None]) -> None:
--- a/gateway/core.py
+++ b/gateway/core.py
@@ -1,9 +1,11 @@
 """Drives the decision module: request table, clock and actions.
 
-The module decides on attempts and responses.  The core by itself only enforces limits: it refuses requests above
-`MAX_OPEN_REQUESTS` or with less than `MIN_TIME_LEFT_NS` left, and ends attempts that must not be sent.  It fails
-requests at their fallback time, when the client has half-closed and no attempt is in flight, after an exception of
-the module and at shutdown.  It passes a successful response on at once and cancels the request's other attempts.
+The decision module (`Balancer`) decides on attempts and responses.  The core by itself only enforces limits.  It
+refuses requests above `MAX_OPEN_REQUESTS` or the configured maximum, with less than `MIN_TIME_LEFT_NS` left, or whose
+time is up before the module handles them.  It ends attempts that must not be sent, and cancels those that are still
+connecting once the client has half-closed.  It fails requests at their fallback time, when the client has half-closed
+and no attempt is in flight, after an exception of the module and at shutdown.  It passes a successful response on at
+once and cancels the request's other attempts.
 
 The module calls actions while it handles an event.  Actions operate on sockets immediately; events that result from
 them are queued until the current event has been handled, so that the module is never re-entered.
@@ -90,7 +92,7 @@
         """Respond that the request failed; it may or may not have had an effect."""
 
     def refused(self, retry_after_ns: int) -> None:
-        """Respond that the request was refused; it had no effect, so a retry is safe."""
+        """Respond that the request was refused: a retry is harmless, as it did not run or may run again."""
 
     def client_half_closed(self) -> bool:
         """Whether the client has shut down its sending side, according to the kernel."""
@@ -262,7 +264,7 @@
             log.exception("reading updates from discovery failed")
 
     def on_settings(self, settings: Settings, columns: Sequence[str]) -> None:
-        """Apply new settings; open requests keep the settings under which they arrived."""
+        """Apply new settings; open requests keep their class and attempt limit."""
         self._apply_settings(settings, columns)
         self._queue_event(self._module.on_settings, None, settings)
 
@@ -433,7 +435,7 @@
     def _fail_request(self, request: Request) -> None:
         """Fail the request without a decision of the module, and have the module drop it.
 
-        It is not refused, since a refusal would promise that it had no effect.  The logged reason is the same in all
+        It is not refused, since a refusal would promise that a retry is harmless.  The logged reason is the same in all
         cases, also after an exception of the module.
         """
         exchange, request.exchange = request.exchange, None
--- a/gateway/discovery.py
+++ b/gateway/discovery.py
@@ -82,7 +82,7 @@
         self._reloaded_at = 0        # the last SIGHUP
         self._hold_until = 0         # requests wait after a stall in push mode, as the watch may have ended
         self._watch: DiscoveryCall | None = None
-        self._backup_watch: DiscoveryCall | None = None   # concurrent with a watch that receives no response
+        self._backup_watch: DiscoveryCall | None = None   # concurrent with one that may be lost, late or out of date
         self._list_call: DiscoveryCall | None = None
         self._backoff_ns = INITIAL_BACKOFF_NS
         self._truncations = 0        # truncated updates in a row
@@ -93,7 +93,7 @@
 
     @property
     def resume_generation(self) -> int:
-        """The version from which a watch resumes; 0 requests the full list."""
+        """The generation from which a watch resumes; 0 requests the full list."""
         return 0 if self._out_of_order else self.generation
 
     def load_known_list(self, listed: Any) -> None:
@@ -264,8 +264,9 @@
                     others: Sequence[tuple[str, int]] = ()) -> None:
         """Applies a new address after SIGHUP: calls are restarted there, the watch at once and from the full list.
 
-        The decision module is not notified, as it would wait before it requests a watch again.  Versions may be counted
-        from the start at the new address.  If zones or machine types have other indices, the full list is needed too.
+        The decision module is not notified, as it would wait before it requests a watch again.  Generations may be
+        counted from the start at the new address.  If zones or machine types have other indices, the full list is
+        needed too.
         """
         self._pushed = pushed
         self._backoff_ns = INITIAL_BACKOFF_NS
@@ -478,9 +479,9 @@
     def _reject_outdated(self, call: DiscoveryCall, update: HostListUpdate) -> bool:
         """Ends the call if its update is older than the current list; returns whether it did.
 
-        A full list that was requested before the newer one arrived is simply late.  On a watch versions only increase:
-        an update that is out of order may also mean that one was left out, so the full list is requested.  A watch that
-        begins with a full list belongs to a service whose versions are counted from the start again.
+        A full list that was requested before the newer one arrived is simply late.  On a watch generations only
+        increase: an update that is out of order may also mean that one was left out, so the full list is requested.  A
+        watch that begins with a full list belongs to a service whose generations are counted from the start again.
         """
         if update.generation >= self.generation:
             return False
@@ -500,7 +501,7 @@
         return ""
 
     def on_malformed(self, call: DiscoveryCall, error: Exception) -> None:
-        """Ends the call, so that no change is lost: the next one resumes from the last accepted version."""
+        """Ends the call, so that no change is lost: the next one resumes from the last accepted generation."""
         log.warning("malformed update dropped: %s", error)
         self.lease.on_unparsable_update(now_ns())
         self.end_call(call, "malformed update")
--- a/gateway/discovery_calls.py
+++ b/gateway/discovery_calls.py
@@ -24,7 +24,7 @@
 
     @property
     def resume_generation(self) -> int:
-        """The version from which a watch resumes."""
+        """The generation from which a watch resumes."""
 
     def on_connected(self, call: DiscoveryCall) -> None:
         """The connection is established."""
@@ -90,7 +90,7 @@
         self.renew_at = 0    # when a backup watch is opened if this one stays silent
         self.was_disconnected = False   # the connection has ended; not used after `close`, which ends it too
         self.received_at = 0   # when data was last received, from the head of a 200 response on; 0: never
-        self.first_list_ns = 0     # when its first list was accepted
+        self.first_list_ns = 0     # when its first update was accepted: a full list, or changes if it resumes
 
     def attach(self, transport: asyncio.Transport) -> bool:
         """Sends the request on an established connection; returns whether the connection is used."""
--- a/gateway/discovery_timeouts.py
+++ b/gateway/discovery_timeouts.py
@@ -18,7 +18,8 @@
 | SIGHUP, silent watch | the signal | 4 s | heartbeat 2 s + tolerance 0.2 s + jitter 0.25 s + queue | lease ends |
 | SIGHUP, watch receives data | it, or a stall's start | 4 s | a backup watch at the end of the bound | lease ends |
 | SIGTERM | the signal | max. deadline + 0.7 s | responses 0.2 s, closes 0.5 s after that deadline | process exits |
-| truncated, malformed update | its first byte | the drain grace | TRUNCATION_TIMEOUT_NS 0.15 s + a call | lease ends |
+| truncated update | the read of its first part | the drain grace | TRUNCATION_TIMEOUT_NS 0.15 s + a call | lease ends |
+| malformed update | its detection | the drain grace | backoff + a call | lease ends |
 | stall, push mode | the change | the drain grace, may have passed | unread data counts from its start | waits 0.25 s |
 
 "Queue" is the time that a call or an update waits at a discovery service that serves all gateways.
@@ -61,7 +62,7 @@
 BACKUP_CALL_DELAY_NS = 1500 * MS
 """Delay after which a call made because of SIGHUP gets one backup call if no response has arrived: it may be lost."""
 PUSHED_BACKUP_CALL_DELAY_NS = SECOND
-"""Delay of the backup call in push mode, where every call may get one."""
+"""Delay of the backup call in push mode, where every watch except a backup watch may get one."""
 POST_STALL_HOLD_NS = 250 * MS
 """How long requests wait for a list after an event-loop stall in which the watch may have ended, in push mode."""
 TRUNCATION_TIMEOUT_NS = 150 * MS
--- a/gateway/exchange.py
+++ b/gateway/exchange.py
@@ -116,7 +116,7 @@
         self._count_request("failed")
 
     def refused(self, retry_after_ns: int) -> None:
-        """Send 503: the request had no effect.  The module decides on the Retry-After header."""
+        """Send 503: a retry is harmless (see `Exchange` of core.py).  The module decides on the Retry-After header."""
         headers = [(b"Retry-After", b"%.3f" % (retry_after_ns / SECOND))] if retry_after_ns > 0 else []
         self.respond(503, headers, b"refused\n")
         self._count_request("rejected")
--- a/gateway/failover.py
+++ b/gateway/failover.py
@@ -34,6 +34,7 @@
 """Maximum random delay before the next service is called, so that not all gateways that lose a service call it at once.
 """
 MAGIC = b"moleworks-list 1 "
+"""Start of the file of a cached list: the name and the version of its format."""
 MAX_CACHE_AGE_S = 24 * 3600
 """Age above which a cached list is not used; in wall time, as no other clock outlives a process."""
 CACHE_TOUCH_INTERVAL_NS = 60 * SECOND
@@ -127,7 +128,7 @@
         random.shuffle(self._addresses)   # spreads gateways over the services
         super().__init__(loop, timers, self._addresses[0], parser, pushed, on_list, grace_ns, started_ns)
         self._reachability.services = len(self._addresses)
-        self._failed_services = 0         # since a service last sent a list
+        self._failed_services = 0         # in a row, in this round of all services
         self._rows: dict[str, Any] = {}
         self._cache = cache
         self._thread = ThreadPoolExecutor(1, "list") if cache is not None else None
--- a/gateway/program.py
+++ b/gateway/program.py
@@ -42,7 +42,8 @@
 
 SWEEP_INTERVAL_NS = 500 * MS
 ACCEPT_AFTER_SIGTERM_NS = 600 * MS
-"""Connections are accepted for this long after SIGTERM: clients go on connecting for up to 0.4 s."""
+"""Connections are accepted for this long after SIGTERM, as clients go on connecting for up to 0.4 s: at most until open
+requests are failed, and not at all if another process serves."""
 MAX_SHUTDOWN_DEADLINE_NS = 3 * SECOND
 """A shutdown waits for the longest request deadline, but at most for this long."""
 SHUTDOWN_MARGIN_NS = 200 * MS
@@ -81,7 +82,7 @@
 
 
 class ConfigError(Exception):
-    """The configuration is missing, unreadable or invalid."""
+    """The configuration is missing, unreadable or invalid, or an address can't be bound."""
 
 
 class ConfigReadError(ConfigError):
@@ -105,6 +106,7 @@
             self.seed = int(str(raw.get("seed", "0")), 16)
             self.max_descriptors = int(raw.get("limits", {}).get("sockets", 1024))
             self.memory_bytes = int(raw.get("limits", {}).get("memory_mb", DEFAULT_MEMORY_MB)) << 20
+            # The configured list, used until discovery sends one.
             self.known_list = raw.get("known", {"generation": 0, "reset": True, "instances": []})
             settings = raw["settings"]
             self.settings: Settings = parse_settings(json.dumps(settings).encode())
@@ -194,7 +196,7 @@
                                  self.stats, self.stream_budget)
         self._start_times = StartTimes()
         parser = UpdateParser(config.zones, config.flavors, self._start_times)
-        self.discovery: Discovery
+        self.discovery: Discovery   # in push mode unless `settings.ask_discovery` is set; it is watched in both modes
         if config.other_discoveries or config.list_folder:
             from .failover import CachedList, FailoverDiscovery
             cached_list = CachedList(config.list_folder, config.name) if config.list_folder else None
@@ -384,7 +386,10 @@
                                    not settings.ask_discovery, config.other_discoveries)
 
     def stop(self) -> None:
-        """Handle SIGTERM or SIGINT: report not ready at once, but serve clients that connect before they notice it."""
+        """Handle SIGTERM or SIGINT: report not ready, and go on accepting clients for `ACCEPT_AFTER_SIGTERM_NS`.
+
+        If another process serves, stop listening at once, and report ready to clients but not to operators.
+        """
         if self._stopping_since_ns:
             return
         now = now_ns()
--- a/gateway/stalls.py
+++ b/gateway/stalls.py
@@ -15,7 +15,7 @@
 from .events import event
 from .timers import LATE_TIMER_NS, NO_DEADLINE_NS, Timers, now_ns
 
-log = logging.getLogger("gateway.holdups")
+log = logging.getLogger("gateway.holdups")   # the name is part of the interface to operators, as metrics' names are
 
 TICK_INTERVAL_NS = 80 * MS
 """Interval of the periodic tick: a shorter stall is within the tolerance of every time limit (0.1 s at least)."""
--- a/gateway/start_times.py
+++ b/gateway/start_times.py
@@ -1,9 +1,9 @@
 """Start times of hosts, which are reported in Unix time, converted to the gateway's monotonic clock.
 
 The wall clock may step, here or on the hosts, before a start, between it and the list, or afterwards.  So no single
-offset between the two clocks is trusted: all observed offsets are kept, and a start time is the latest that any of them
-allows, as a host that is taken for colder than it is only gets less load for a while.  A start time that was
-converted once keeps its result.
+offset between the two clocks is trusted: the newest offsets that differ by a step are kept, and a start time is the
+latest that any of them allows, as a host that is taken for colder than it is only gets less load for a while.  A start
+time that was converted once keeps its result while its host is listed.
 """
 
 from __future__ import annotations
--- a/gateway/stats.py
+++ b/gateway/stats.py
@@ -1,6 +1,7 @@
 """Metrics for operators: plain counters.
 
-A client's request is counted at its end, an attempt (`upstream_requests`) when its last byte has been written.
+A client's valid request is counted when its response ends; not if its client has left or its body was rejected.  An
+attempt (`upstream_requests`) is counted when its last byte has been written.
 """
 
 from __future__ import annotations
--- a/gateway/update_parser.py
+++ b/gateway/update_parser.py
@@ -13,7 +13,7 @@
 from .start_times import StartTimes
 from .timers import now_ns
 
-log = logging.getLogger("gateway.lines")
+log = logging.getLogger("gateway.lines")   # the name is part of the interface to operators
 
 MAX_UPDATE_BYTES = 8 * 1024 * 1024
 STATES = {"in_service": HostState.READY, "terminating": HostState.DRAINING, "terminated": HostState.GONE}
@@ -27,7 +27,7 @@
 
 
 class HostListUpdate(NamedTuple):
-    """An update from discovery: its version, whether it is a full list, and its hosts."""
+    """An update from discovery: its generation, whether it is a full list, and its hosts."""
 
     generation: int
     whole: bool
--- a/gateway/upstream.py
+++ b/gateway/upstream.py
@@ -27,7 +27,11 @@
 log = logging.getLogger("gateway.upstream")
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
-"""Longest body that is buffered completely; longer ones are streamed.  Equal to `body.MAX_REPLAY_BYTES`."""
+"""Longest body that is buffered completely; longer ones are streamed.  Equal to `body.MAX_REPLAY_BYTES`.
+
+A shorter response of unknown length may be streamed too (`UNKNOWN_LENGTH_BUFFER_NS`).  Only responses with status 200
+are streamed; a longer one with another status counts as malformed.
+"""
 MAX_BODY_BYTES = 32 * 1024 * 1024
 """Longest request body, and largest Content-Length of a response; a response without one has no maximum."""
 UNKNOWN_LENGTH_BUFFER_NS = 100 * MS
